--- a/mustardfall/kv/contact.py
+++ b/mustardfall/kv/circuit_breaker.py
@@ -21,7 +21,7 @@
 """Part of the time between two trials that is left to chance."""
 
 
-class Contact:
+class CircuitBreaker:
   """Counts failures; logs when the store is lost and found again.
 
   Args:
@@ -36,13 +36,13 @@
     self._try_at = 0.0
 
   @property
-  def lost(self) -> bool:
+  def is_open(self) -> bool:
     """Whether the store is taken to be away."""
     return self._lost_at is not None
 
-  def may_try(self) -> bool:
+  def allows_call(self) -> bool:
     """Whether a call may be made: all while in touch, else one now and then."""
-    if not self.lost:
+    if not self.is_open:
       return True
     now = self._clock.monotonic()
     if now < self._try_at:
@@ -56,7 +56,7 @@
     self._try_at = now + self._pause_s * spread
     self._pause_s = min(_MOST_TRIAL_S, self._pause_s * _TRIAL_GROWTH)
 
-  def note(self, error: str | None) -> None:
+  def record(self, error: str | None) -> None:
     """Notes how a call ended; None: it was answered."""
     now = self._clock.monotonic()
     if error is None:
--- a/mustardfall/platform/store.py
+++ b/mustardfall/platform/store.py
@@ -11,7 +11,7 @@
 import pydantic
 
 from mustardfall import errors
-from mustardfall.kv import contact
+from mustardfall.kv import circuit_breaker
 from mustardfall.kv import protocol
 from mustardfall.proxy import calls as calls_lib
 from mustardfall.util import clock as clock_lib
@@ -117,7 +117,7 @@
   ) -> None:
     self._address = address
     self._caller = caller
-    self._contact = contact.Contact(clock)
+    self._breaker = circuit_breaker.CircuitBreaker(clock)
 
   @property
   def calls(self) -> int:
@@ -127,7 +127,7 @@
   @property
   def reachable(self) -> bool:
     """Whether the last call was answered."""
-    return not self._contact.lost
+    return not self._breaker.is_open
 
   async def close(self) -> None:
     """Does nothing: the connections are the caller's."""
@@ -154,7 +154,7 @@
       errors.KvUnavailableError: it had no effect.
       errors.KvUnknownError: it may have had.
     """
-    if not eager and not self._contact.may_try():
+    if not eager and not self._breaker.allows_call():
       raise errors.KvUnavailableError("store away")
     content = b"" if body is None else json.dumps(body).encode()
     try:
@@ -162,15 +162,15 @@
           self._address, method, target, content, timeout_s
       )
     except errors.EndpointUnreachableError as exc:
-      self._contact.note(str(exc))
+      self._breaker.record(str(exc))
       raise errors.KvUnavailableError(str(exc)) from exc
     except errors.BrokenAnswerError as exc:
-      self._contact.note(str(exc))
+      self._breaker.record(str(exc))
       raise errors.KvUnknownError(str(exc)) from exc
     if reply.status in _NOT_DONE:
-      self._contact.note(f"status {reply.status}")
+      self._breaker.record(f"status {reply.status}")
       raise errors.KvUnavailableError(f"{target}: status {reply.status}")
-    self._contact.note(None)
+    self._breaker.record(None)
     return reply
 
   def _parse(
