--- a/mustardfall/budget/drawing.py
+++ b/mustardfall/budget/drawing.py
@@ -259,7 +259,7 @@
   ) -> bool:
     """Asks a router for a part; returns whether its answer is final."""
     part = self._table.new_gid()
-    ask = peers_lib.Ask(budget, customer, part, least, want)
+    ask = peers_lib.ReserveRequest(budget, customer, part, least, want)
     answer = await self._peers.reserve(owner, ask)
     if answer is None:
       # The owner may have handed the part on and its answer got lost.
--- a/mustardfall/budget/handing.py
+++ b/mustardfall/budget/handing.py
@@ -68,7 +68,9 @@
     self._writer = writer
     self._counts = counts
 
-  async def serve_ask(self, ask: peers_lib.Ask) -> peers_lib.Handed:
+  async def serve_ask(
+      self, ask: peers_lib.ReserveRequest
+  ) -> peers_lib.ReserveReply:
     """Hands a part of an owned budget on to another router."""
     handed = self._hand_on(ask)
     if handed.tokens:
@@ -91,14 +93,14 @@
   def _owns(self, budget: str) -> bool:
     return self._known.owner(budget) is None
 
-  def _hand_on(self, ask: peers_lib.Ask) -> peers_lib.Handed:
+  def _hand_on(self, ask: peers_lib.ReserveRequest) -> peers_lib.ReserveReply:
     share = self._config.part_share
     size, gid = self._table.hand_on(
         ask.budget, ask.part, ask.least, ask.want, share
     )
-    return peers_lib.Handed(size, gid)
+    return peers_lib.ReserveReply(size, gid)
 
-  def serve_settle(self, ended: list[peers_lib.Ended]) -> None:
+  def serve_settle(self, ended: list[peers_lib.EndedPart]) -> None:
     """Takes ended parts back from another router."""
     for part in ended:
       self._settler.take_back(part)
--- a/mustardfall/budget/settling.py
+++ b/mustardfall/budget/settling.py
@@ -46,7 +46,7 @@
     """What was reported of grants, or is about to be."""
     self._reporting: dict[str, ceilings_lib.Ceiling | None] = {}
     """Reports on their way, by grant, with what they promise."""
-    self._ended: dict[str, list[tuple[peers_lib.Ended, allotment.Row]]] = {}
+    self._ended: dict[str, list[tuple[peers_lib.EndedPart, allotment.Row]]] = {}
     """Parts to settle, by the life of the owner that handed them on."""
 
   def settle_row(self, row: allotment.Row) -> None:
@@ -132,7 +132,7 @@
 
   def queue_ended(self, row: allotment.Row) -> None:
     """Leaves a finished part to be settled with its owner."""
-    ended = peers_lib.Ended(row.gid, row.own)
+    ended = peers_lib.EndedPart(row.gid, row.own)
     self._ended.setdefault(row.source, []).append((ended, row))
 
   async def settle_parts(self) -> None:
@@ -157,7 +157,9 @@
           continue
       self._ended.setdefault(life, []).extend(batch)
 
-  def _settle_orphan(self, ended: peers_lib.Ended, row: allotment.Row) -> None:
+  def _settle_orphan(
+      self, ended: peers_lib.EndedPart, row: allotment.Row
+  ) -> None:
     """Settles a part in the ledger, once, since its owner has gone."""
     if row.orphaned:
       return
@@ -175,7 +177,7 @@
       for ended, row in batch:
         self._settle_orphan(ended, row)
 
-  def take_back(self, ended: peers_lib.Ended) -> None:
+  def take_back(self, ended: peers_lib.EndedPart) -> None:
     """Takes a part that another router has done with."""
     part, used = ended
     left = self._table.left_out.pop(part, None)
--- a/mustardfall/membership/peers.py
+++ b/mustardfall/membership/peers.py
@@ -28,7 +28,7 @@
 """
 
 
-class Ask(NamedTuple):
+class ReserveRequest(NamedTuple):
   """Asks the owner of `budget` for `least` to `want` tokens as `part`."""
 
   budget: str
@@ -38,7 +38,7 @@
   want: int
 
 
-class Handed(NamedTuple):
+class ReserveReply(NamedTuple):
   """The owner's answer: a part of its grant `gid`, or 0 tokens.
 
   `unsure` says that the owner could not reach the KV: its answer is no
@@ -52,7 +52,7 @@
   exhausted: bool = False
 
 
-class Ended(NamedTuple):
+class EndedPart(NamedTuple):
   """A part that has ended, and the tokens used of it."""
 
   part: str
@@ -86,7 +86,9 @@
       )
       return None
 
-  async def reserve(self, owner: members.Member, ask: Ask) -> Handed | None:
+  async def reserve(
+      self, owner: members.Member, ask: ReserveRequest
+  ) -> ReserveReply | None:
     """Asks for a part; None when the owner gave no answer."""
     answer = await self._post(owner, RESERVE_PATH, ask._asdict())
     if answer is None:
@@ -99,7 +101,7 @@
       )
     return handed
 
-  async def settle(self, owner: members.Member, ended: list[Ended]) -> bool:
+  async def settle(self, owner: members.Member, ended: list[EndedPart]) -> bool:
     """Tells the owner of ended parts; returns whether it heard."""
     body = {"ended": [e._asdict() for e in ended]}
     return await self._post(owner, SETTLE_PATH, body) is not None
@@ -115,7 +117,7 @@
     return await self._post(successor, REVIEW_PATH, body) is not None
 
 
-def _decode_handed(answer: Any) -> Handed | None:
+def _decode_handed(answer: Any) -> ReserveReply | None:
   """Decodes an owner's answer; None where it makes no sense.
 
   The owner may run another version, with more fields or fewer.
@@ -125,7 +127,7 @@
   tokens, gid = answer.get("tokens"), answer.get("gid")
   if type(tokens) is not int or tokens < 0 or not isinstance(gid, str):
     return None
-  return Handed(
+  return ReserveReply(
       tokens,
       gid,
       unsure=answer.get("unsure") is True,
