--- a/mustardfall/budget/granting.py
+++ b/mustardfall/budget/granting.py
@@ -53,7 +53,7 @@
       refusals: refusals_lib.Refusals,
       settler: settling.Settler,
       writer: writer_lib.Writer,
-      vouch: Callable[[clock_lib.Moment], clock_lib.Moment],
+      with_error_bound: Callable[[clock_lib.Moment], clock_lib.Moment],
       counts: collections.Counter[str],
   ) -> None:
     self._config = config
@@ -64,7 +64,7 @@
     self._refusals = refusals
     self._settler = settler
     self._writer = writer
-    self._vouch = vouch
+    self._vouch = with_error_bound
     self._counts = counts
     self.asking: set[str] = set()
     """Grants asked of the KV whose answer is still out."""
--- a/mustardfall/budget/holding.py
+++ b/mustardfall/budget/holding.py
@@ -89,4 +89,4 @@
   were drawn on, by compare-and-swap: with as many writers as routers, most
   would find that another was first, and try again.
   """
-  return config.report_s * max(1.0, routers / members_lib.CLOSE_FLEET)
+  return config.report_s * max(1.0, routers / members_lib.MAX_SMALL_FLEET)
--- a/mustardfall/budget/renewals.py
+++ b/mustardfall/budget/renewals.py
@@ -87,14 +87,14 @@
       life: str,
       table: allotment.Table,
       writer: writer_lib.Writer,
-      vouch: Callable[[clock_lib.Moment], clock_lib.Moment],
+      with_error_bound: Callable[[clock_lib.Moment], clock_lib.Moment],
   ) -> None:
     self._config = config
     self._clock = clock
     self._life = life
     self._table = table
     self._writer = writer
-    self._vouch = vouch
+    self._vouch = with_error_bound
     self._earlier: dict[str, clock_lib.Moment] = {}
     self._read = anyio.Event()
     self._pending: list[float] | None = None
--- a/mustardfall/budget/reviewing.py
+++ b/mustardfall/budget/reviewing.py
@@ -73,7 +73,7 @@
 
   def _vouch(self, moment: clock_lib.Moment) -> clock_lib.Moment:
     check = self._clock_check
-    return moment if check is None else check.vouch(moment)
+    return moment if check is None else check.with_error_bound(moment)
 
   def find(self, budget: str, found: ledger.Ledger) -> set[tuple[str, str]]:
     """Returns who can give back what dead routers held of a budget."""
--- a/mustardfall/membership/clockcheck.py
+++ b/mustardfall/membership/clockcheck.py
@@ -70,7 +70,7 @@
     """How far the clock was off most others then, at most."""
     self._agreed = anyio.Event()
 
-  def vouch(self, moment: clock_lib.Moment) -> clock_lib.Moment:
+  def with_error_bound(self, moment: clock_lib.Moment) -> clock_lib.Moment:
     """Returns a moment of this process, marked if its clock agreed then."""
     if self._offset_s is None:
       return moment
@@ -82,7 +82,7 @@
   @property
   def agrees(self) -> bool:
     """Whether the clock agrees now."""
-    return self.vouch(self._clock.moment()).agreed
+    return self.with_error_bound(self._clock.moment()).agreed
 
   async def wait(self, timeout_s: float) -> None:
     """Waits until the clock has agreed once, or for `timeout_s`."""
--- a/mustardfall/membership/members.py
+++ b/mustardfall/membership/members.py
@@ -34,7 +34,7 @@
 _CANDIDATES = 3
 """Routers that are asked for tokens in turn: the owner, and two deputies that
 may be in touch with the KV while it is not."""
-CLOSE_FLEET = 12
+MAX_SMALL_FLEET = 12
 """Routers up to which each can afford to tell all others, and to draw on the KV
 itself; in a larger fleet few act for the others."""
 _LOGGED = 8
@@ -153,7 +153,7 @@
   @property
   def is_large(self) -> bool:
     """Whether the fleet is too large for all to act with all."""
-    return len(self._lives) > CLOSE_FLEET
+    return len(self._lives) > MAX_SMALL_FLEET
 
   @property
   def regions(self) -> int:
@@ -249,8 +249,8 @@
     while True:
       try:
         revision, records = await self._kv.get_prefix(PREFIX)
-        self.note_touch(True)
-        self.take(decode(records))
+        self.set_connected(True)
+        self.update(decode(records))
         async for event in self._kv.watch(
             PREFIX, revision + 1, self._config.watch_idle_s
         ):
@@ -258,10 +258,10 @@
       except (errors.KvUnavailableError, errors.KvUnknownError) as exc:
         logger.debug("member watch broke: %s", exc)
       # Out of touch: the list as last heard stays, nobody is gone.
-      self.note_touch(False)
+      self.set_connected(False)
       await anyio.sleep(_RETRY_S)
 
-  def note_touch(self, is_in_touch: bool) -> None:
+  def set_connected(self, is_in_touch: bool) -> None:
     """Notes whether the list of others is kept current."""
     if not is_in_touch:
       self._in_touch_since = None
@@ -275,9 +275,9 @@
     else:
       for member in decode([event.record]):
         members[member.name] = member
-    self.take(list(members.values()))
+    self.update(list(members.values()))
 
-  def take(self, members: list[Member]) -> None:
+  def update(self, members: list[Member]) -> None:
     """Takes the whole list of others in."""
     by_name = {m.name: m for m in members} | {self.me.name: self.me}
     if by_name == self._by_name:
--- a/mustardfall/platform/followers.py
+++ b/mustardfall/platform/followers.py
@@ -272,8 +272,8 @@
     await self._gateway.take_endpoints(document["hosts"])
 
   async def _meet(self, document: deltas.Document) -> None:
-    self._members.take([members_lib.from_row(r) for r in document["members"]])
-    self._members.note_touch(True)
+    self._members.update([members_lib.from_row(r) for r in document["members"]])
+    self._members.set_connected(True)
 
   def _lose_members(self) -> None:
-    self._members.note_touch(False)
+    self._members.set_connected(False)
--- a/mustardfall/platform/site.py
+++ b/mustardfall/platform/site.py
@@ -174,7 +174,7 @@
           "retry_ratio": bounds.retry_ratio * _RETRY_SAFETY,
           "retry_burst": bounds.retry_slack
           * _RETRY_SAFETY
-          / members_lib.CLOSE_FLEET,
+          / members_lib.MAX_SMALL_FLEET,
       },
   }
   return Site(
--- a/mustardfall/proxy/forwarder.py
+++ b/mustardfall/proxy/forwarder.py
@@ -145,7 +145,7 @@
     """Returns the second sends that this router may save up for a service."""
     return retries.part_of_burst(
         self._config.proxy.retry_burst,
-        members_lib.CLOSE_FLEET,
+        members_lib.MAX_SMALL_FLEET,
         self._fleet.most(),
     )
 
--- a/tests/test_clockcheck.py
+++ b/tests/test_clockcheck.py
@@ -50,7 +50,7 @@
     view = members_lib.Members(
         None, _member(0), config, clock_lib.FakeClock(), events.Bus()
     )
-    view.take([_member(i) for i in range(len(other_steps_s) + 1)])
+    view.update([_member(i) for i in range(len(other_steps_s) + 1)])
     check = clockcheck.ClockCheck(config, view, _post, self.clock)
 
     async def _run():
@@ -63,7 +63,7 @@
   def test_clock_that_agrees_with_most_is_vouched_for(self):
     check = self._check(0.0, [0.0, 0.01, -2.4, 0.0])
     self.assertTrue(check.agrees)
-    self.assertTrue(check.vouch(self.clock.moment()).agreed)
+    self.assertTrue(check.with_error_bound(self.clock.moment()).agreed)
 
   def test_stepped_clock_is_not(self):
     self.assertFalse(self._check(-2.4, [0.0, 0.0, 0.0, 0.0]).agrees)
@@ -91,5 +91,5 @@
     before = self.clock.moment()
     self.clock.step_s = 2.4
     self.assertFalse(check.agrees)
-    self.assertTrue(check.vouch(before).agreed)
-    self.assertFalse(check.vouch(self.clock.moment()).agreed)
+    self.assertTrue(check.with_error_bound(before).agreed)
+    self.assertFalse(check.with_error_bound(self.clock.moment()).agreed)
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -61,7 +61,7 @@
       clock_lib.FakeClock(),
       events.Bus(),
   )
-  view.take([_member(i) for i in range(_ROUTERS)])
+  view.update([_member(i) for i in range(_ROUTERS)])
   return view
 
 
@@ -213,7 +213,7 @@
     )
     began = time.process_time()
     for count in range(2, _ROUTERS + 1):
-      view.take([_member(i) for i in range(count)])
+      view.update([_member(i) for i in range(count)])
       view.owner("acme")
     spent_s = time.process_time() - began
     self.assertTrue(spent_s <= _CONTROL_SHARE * _START_S, spent_s)
@@ -229,11 +229,11 @@
         clock_lib.FakeClock(),
         events.Bus(),
     )
-    view.take(everyone)
+    view.update(everyone)
     view.owner("acme")
     began = time.process_time()
     for gone in [*range(_LARGE // 3), *reversed(range(_LARGE // 3))]:
-      view.take(everyone[gone:])
+      view.update(everyone[gone:])
       view.owner("acme")
     spent_s = time.process_time() - began
     self.assertTrue(spent_s <= 2 * _CONTROL_SHARE * _REFUSED_S, spent_s)
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -26,7 +26,7 @@
     self.view = members.Members(
         None, _member(0), config, self.clock, events.Bus()
     )
-    self.view.take([_member(i) for i in range(8)])
+    self.view.update([_member(i) for i in range(8)])
 
   def _owners(self) -> dict[str, str]:
     return {f"b{i}": self.view.owner(f"b{i}").name for i in range(2000)}
@@ -36,7 +36,7 @@
     # else each of the day's restarts would shuffle all allotments.
     before = self._owners()
     self.assertEqual(8, len(set(before.values())))
-    self.view.take([_member(i) for i in range(8) if i != 3])
+    self.view.update([_member(i) for i in range(8) if i != 3])
     after = self._owners()
     moved = [b for b in before if before[b] != after[b]]
     self.assertEqual({"r3"}, {before[b] for b in moved})
@@ -46,7 +46,7 @@
     # change hands, and its tokens would lie with routers that own it no more.
     before = self._owners()
     again = [_member(i)._replace(epoch="f") for i in range(1, 8)]
-    self.view.take([_member(0), *again])
+    self.view.update([_member(0), *again])
     self.assertEqual(before, self._owners())
 
   def test_deputies_come_in_order_and_suspects_last(self):
@@ -63,12 +63,12 @@
     self.view = members.Members(
         None, _member(0), config, self.clock, events.Bus()
     )
-    self.view.take([_member(i) for i in range(8)])
+    self.view.update([_member(i) for i in range(8)])
     before = self._owners()
     owners = set(before.values())
     self.assertEqual(3, len(owners))
     for i in range(1, 8):
-      self.view.take([_member(j) for j in range(8) if j != i])
+      self.view.update([_member(j) for j in range(8) if j != i])
       after = self._owners()
       if f"r{i}" not in owners:
         self.assertEqual(before, after)
@@ -77,7 +77,7 @@
 
   def test_budgets_are_owned_in_the_own_region(self):
     far = [_member(i, "far") for i in range(10, 20)]
-    self.view.take([_member(0), _member(1), *far])
+    self.view.update([_member(0), _member(1), *far])
     self.assertEqual({"r0", "r1"}, set(self._owners().values()))
     self.assertEqual(2, self.view.regions)
 
@@ -95,7 +95,7 @@
     # A router that was cut off, or paused, has heard of nobody for long.
     # It must not write everyone's grants off; nor right after it is back.
     self.view._in_touch_since = self.clock.monotonic()
-    self.view.take([_member(i) for i in range(7)])
+    self.view.update([_member(i) for i in range(7)])
     self.clock.advance(datetime.timedelta(seconds=11))
     self.assertTrue(self.view.has_gone("r7:e"))
     self.assertFalse(self.view.has_gone("r6:e"))
--- a/tests/test_notices.py
+++ b/tests/test_notices.py
@@ -204,7 +204,7 @@
       view = members_lib.Members(
           None, me, settings.Membership(), clock, events.Bus()
       )
-      view.take(everyone)
+      view.update(everyone)
       copies = copies_lib.Copies(clock)
       told = notices.Notices(self.net.port(me.name), view, copies, clock)
       relay = relay_lib.Relay(view, self._post, copies, clock)
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -30,14 +30,14 @@
       lives: how often all are started within that; the first life has saved
         up all that it may.
     """
-    burst = _SLACK * _SAFETY / members_lib.CLOSE_FLEET
+    burst = _SLACK * _SAFETY / members_lib.MAX_SMALL_FLEET
     made = 0
     for number in range(routers * requests_each):
       if number % (requests_each // lives) == 0:
         budget = retries.RetryBudget(
             _RATIO * _SAFETY,
             lambda: retries.part_of_burst(
-                burst, members_lib.CLOSE_FLEET, routers
+                burst, members_lib.MAX_SMALL_FLEET, routers
             ),
         )
         if number % requests_each == 0:
--- a/tests/test_tracking.py
+++ b/tests/test_tracking.py
@@ -215,7 +215,7 @@
       view = members_lib.Members(
           None, me, settings.Membership(), self.clock, events.Bus()
       )
-      view.take(everyone)
+      view.update(everyone)
       self.routers.append(
           trackers.Trackers(view, self.net.port(me), self.clock)
       )
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -108,7 +108,7 @@
     view = members_lib.Members(
         None, me, settings.Membership(), clock, events.Bus()
     )
-    view.take([_member(n) for n in range(_ROUTERS)])
+    view.update([_member(n) for n in range(_ROUTERS)])
     port = _Port(self.net, me.name)
     table = self.tables[number] = quarantine.Table(clock)
     told = notices_lib.Notices(port, view, copies.Copies(clock), clock)
