--- a/mustardfall/budget/granting.py
+++ b/mustardfall/budget/granting.py
@@ -39,7 +39,8 @@
     refusals: budgets that lately could not give.
     settler: settles grants and reports their use.
     writer: the batch writer to the KV.
-    vouch: marks a moment of this host as agreed, if it is.
+    with_error_bound: adds to a moment of this host the error of its wall clock,
+      where that was found to agree with the other routers.
     counts: what happened so far.
   """
 
--- a/mustardfall/budget/renewals.py
+++ b/mustardfall/budget/renewals.py
@@ -77,7 +77,8 @@
     life: this router's life.
     table: its allotments.
     writer: the batch writer to the KV.
-    vouch: marks a moment of this host as agreed, if it is.
+    with_error_bound: adds to a moment of this host the error of its wall clock,
+      where that was found to agree with the other routers.
   """
 
   def __init__(
--- a/mustardfall/membership/members.py
+++ b/mustardfall/membership/members.py
@@ -92,7 +92,7 @@
     self._replaced: collections.OrderedDict[str, None]
     self._replaced = collections.OrderedDict()
     """Lives that were seen before a later life of the same router."""
-    self._in_touch_since: float | None = None
+    self._connected_since: float | None = None
     self._lease = 0
     self._near: list[str] = []
     self._ranked: list[str] = []
@@ -214,11 +214,11 @@
     paused, has heard of nobody and must not take everyone for gone.
     """
     now = self._clock.monotonic()
-    if life in self._lives or self._in_touch_since is None:
+    if life in self._lives or self._connected_since is None:
       self._absent_since.pop(life, None)
       return -1.0
     since = self._absent_since.setdefault(life, now)
-    return now - max(since, self._in_touch_since)
+    return now - max(since, self._connected_since)
 
   async def register(self) -> None:
     """Keeps this router registered until cancelled."""
@@ -264,9 +264,9 @@
   def set_connected(self, is_in_touch: bool) -> None:
     """Notes whether the list of others is kept current."""
     if not is_in_touch:
-      self._in_touch_since = None
-    elif self._in_touch_since is None:
-      self._in_touch_since = self._clock.monotonic()
+      self._connected_since = None
+    elif self._connected_since is None:
+      self._connected_since = self._clock.monotonic()
 
   def _take(self, event: protocol.Event) -> None:
     members = dict(self._by_name)
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -94,14 +94,14 @@
   def test_router_out_of_touch_takes_nobody_for_gone(self):
     # A router that was cut off, or paused, has heard of nobody for long.
     # It must not write everyone's grants off; nor right after it is back.
-    self.view._in_touch_since = self.clock.monotonic()
+    self.view._connected_since = self.clock.monotonic()
     self.view.update([_member(i) for i in range(7)])
     self.clock.advance(datetime.timedelta(seconds=11))
     self.assertTrue(self.view.has_gone("r7:e"))
     self.assertFalse(self.view.has_gone("r6:e"))
-    self.view._in_touch_since = None
+    self.view._connected_since = None
     self.assertFalse(self.view.has_gone("r7:e"))
-    self.view._in_touch_since = self.clock.monotonic()
+    self.view._connected_since = self.clock.monotonic()
     self.clock.advance(datetime.timedelta(seconds=5))
     self.assertFalse(self.view.has_gone("r7:e"))
 
