--- a/mustardfall/membership/notices.py
+++ b/mustardfall/membership/notices.py
@@ -72,31 +72,31 @@
     datagrams.connect(datagrams_lib.Kind.NOTICE, self._take)
 
   @property
-  def reads(self) -> bool:
+  def is_reader(self) -> bool:
     """Whether this router is among those that always read."""
     return not self._datagrams.is_open or self._members.rank < _READERS
 
   @property
-  def tells(self) -> bool:
+  def is_announcer(self) -> bool:
     """Whether this router tells the others what it reads."""
     if not self._datagrams.is_open:
       return False
     return self._members.rank < _READERS + _DEPUTIES
 
-  def patience_s(self, silence_s: float) -> float:
+  def read_delay_s(self, silence_s: float) -> float:
     """Returns after how long a silence this router reads for itself.
 
     Args:
       silence_s: after which any router does.
     """
-    if self.reads:
+    if self.is_reader:
       return 0.0
-    if not self.tells:
+    if not self.is_announcer:
       return silence_s
     place = (self._members.rank - _READERS) / _DEPUTIES
     return silence_s * (_FIRST_DEPUTY + (1 - _FIRST_DEPUTY) * place)
 
-  def sources(self) -> list[members_lib.Member]:
+  def relay_sources(self) -> list[members_lib.Member]:
     """Returns the routers to ask in turn for a change that was not told.
 
     They form a tree below the readers, so that none serves more than a few.
@@ -112,18 +112,18 @@
     distinct = {m.life: m for m in found if m.life != self._members.me.life}
     return list(distinct.values())[:_MOST_ASKED]
 
-  def digest(self, name: str) -> str:
+  def announced_digest(self, name: str) -> str:
     """Returns the digest of the latest version told, empty without any."""
     heard = self._heard.get(name)
     return heard.digest if heard is not None else ""
 
-  def silent_s(self, name: str) -> float:
+  def since_notice_s(self, name: str) -> float:
     """Returns for how long others have told nothing about a document."""
     heard = self._heard.get(name)
     now = self._clock.monotonic()
     return now - heard.as_of if heard is not None else float("inf")
 
-  def agrees(self, name: str) -> bool:
+  def is_up_to_date(self, name: str) -> bool:
     """Whether no notice tells of a later version than the one kept here."""
     heard, copy = self._heard.get(name), self._copies.find(name)
     if heard is None:
@@ -137,11 +137,11 @@
     with anyio.move_on_after(max(0.0, most_s)):
       await self._came.wait()
 
-  async def tell(self) -> None:
+  async def announce(self) -> None:
     """Tells the region's other routers the digests of all documents."""
     await self._send({})
 
-  async def tell_change(self, name: str, change: deltas.Delta) -> None:
+  async def announce_change(self, name: str, change: deltas.Delta) -> None:
     """Tells them at once what has changed of a document."""
     await self._send({name: change})
     await anyio.sleep(_TELL_AGAIN_S)
--- a/mustardfall/membership/relay.py
+++ b/mustardfall/membership/relay.py
@@ -122,7 +122,7 @@
     found: list[Fetched] = []
 
     async def _ask(member: members_lib.Member) -> None:
-      answer = await self.ask(member, name)
+      answer = await self.fetch_from(member, name)
       if answer is not None:
         found.append(answer)
 
@@ -131,7 +131,7 @@
         tasks.start_soon(_ask, member)
     return max(found, key=lambda f: f.as_of, default=None)
 
-  async def ask(
+  async def fetch_from(
       self, member: members_lib.Member, name: str, want: str = ""
   ) -> Fetched | None:
     """Returns what one router knows of a document, None if that is no news.
--- a/mustardfall/membership/verdicts.py
+++ b/mustardfall/membership/verdicts.py
@@ -156,7 +156,7 @@
     is_read = False
     while True:
       await anyio.sleep(_ROUND_S)
-      if not is_read and self._notices.reads:
+      if not is_read and self._notices.is_reader:
         is_read = await self._read()
       known = self._table.verdicts()
       others = self._members.others
--- a/mustardfall/platform/followers.py
+++ b/mustardfall/platform/followers.py
@@ -89,14 +89,14 @@
       else:
         await self._pause()
 
-  def _patience_s(self) -> float:
-    return self._notices.patience_s(self._source.silence_s)
+  def _read_delay_s(self) -> float:
+    return self._notices.read_delay_s(self._source.silence_s)
 
   def _is_due(self) -> bool:
     """Whether this router has to read for itself."""
     if self._copies.find(self._name) is None:
       return True
-    if self._notices.silent_s(self._name) >= self._patience_s():
+    if self._notices.since_notice_s(self._name) >= self._read_delay_s():
       return True
     behind_since = self._behind_since
     if behind_since is None:
@@ -106,23 +106,23 @@
   @property
   def _is_behind(self) -> bool:
     """Whether others told of a version without telling what has changed."""
-    return self._behind_since is not None and not self._notices.reads
+    return self._behind_since is not None and not self._notices.is_reader
 
   async def _catch_up(self) -> bool:
     """Takes what has changed from another router; whether one had it."""
-    for member in self._notices.sources():
-      want = self._notices.digest(self._name)
-      found = await self._relay.ask(member, self._name, want)
+    for member in self._notices.relay_sources():
+      want = self._notices.announced_digest(self._name)
+      found = await self._relay.fetch_from(member, self._name, want)
       if found is not None:
         await self._keep_fetched(found)
-      if self._notices.agrees(self._name):
+      if self._notices.is_up_to_date(self._name):
         self._behind_since = None
         return True
     return False
 
   async def _listen(self) -> None:
     """Waits for a notice, or for the time to read."""
-    left_s = self._patience_s() - self._notices.silent_s(self._name)
+    left_s = self._read_delay_s() - self._notices.since_notice_s(self._name)
     if self._behind_since is not None:
       left_s = min(left_s, _BEHIND_S)
     await self._notices.wait(left_s)
@@ -130,7 +130,7 @@
 
   async def _take_current(self) -> None:
     """Has the copy taken in where it changed or was found current again."""
-    if self._notices.agrees(self._name):
+    if self._notices.is_up_to_date(self._name):
       self._behind_since = None
     elif self._behind_since is None:
       self._behind_since = self._clock.monotonic()
@@ -177,14 +177,14 @@
       return  # others told of a later version while it was on its way
     copy = self._copies.put(self._name, document, as_of)
     await self._take_current()
-    if not self._notices.tells:
+    if not self._notices.is_announcer:
       return
     if before is not None and before.digest != copy.digest:
       change = deltas.diff(before.document, document)
-      await self._notices.tell_change(self._name, change)
+      await self._notices.announce_change(self._name, change)
     elif self._name == documents.SERVERS_PREFIX:
       # The list is read most often; the others' digests go with it.
-      await self._notices.tell()
+      await self._notices.announce()
 
   async def _ask_others(self) -> None:
     """Takes another router's copy where it is fresher than the own one."""
@@ -202,8 +202,8 @@
 
   async def _pause(self) -> None:
     """Waits before the next try, or until others tell what is current."""
-    tells = self._notices.tells or self._notices.reads
-    first_s, most_s = _TELLERS if tells else _TOLD
+    is_announcer = self._notices.is_announcer or self._notices.is_reader
+    first_s, most_s = _TELLERS if is_announcer else _TOLD
     pause_s = min(most_s, first_s * _RETRY_GROWTH**self._failures)
     pause_s *= 1 + _SPREAD * (random.random() - 0.5)
     self._failures += 1
@@ -211,7 +211,7 @@
     while (left_s := ends - self._clock.monotonic()) > 0:
       await self._notices.wait(left_s)
       await self._take_current()
-      if not self._notices.reads and not self._is_due():
+      if not self._notices.is_reader and not self._is_due():
         return
 
 
--- a/tests/test_notices.py
+++ b/tests/test_notices.py
@@ -168,8 +168,8 @@
     self.version = 0
 
   @property
-  def reads(self) -> bool:
-    return self.notices.reads
+  def is_reader(self) -> bool:
+    return self.notices.is_reader
 
   async def take_endpoints(self, hosts):
     self.states = {host["name"]: host["state"] for host in hosts}
@@ -242,7 +242,7 @@
     del self.routers[name]
 
   def readers(self) -> list[str]:
-    return [name for name, gateway in self.routers.items() if gateway.reads]
+    return [name for name, gateway in self.routers.items() if gateway.is_reader]
 
 
 def _entry(number: int, state: str) -> dict:
@@ -486,7 +486,7 @@
     """Guards against an older configuration put in the place of a newer."""
     fleet.store.put("op/config", platformcase.configuration(version=5))
     await anyio.sleep(1.0)
-    gateway = next(g for g in fleet.routers.values() if not g.reads)
+    gateway = next(g for g in fleet.routers.values() if not g.is_reader)
     newest = gateway.copies.find("op/config")
     older = newest.document | {"version": 4}
     change = deltas.diff(newest.document, older)
@@ -497,7 +497,7 @@
   @in_fleet
   async def test_notice_from_the_future_is_not_relied_on(self, fleet):
     """Guards against a router that reads nothing any more for one datagram."""
-    deaf = next(g for g in fleet.routers.values() if not g.reads)
+    deaf = next(g for g in fleet.routers.values() if not g.is_reader)
     copy = deaf.copies.find("servers/")
     told = {"servers/": [copy.digest, -1e9], "x": ["d", 0], "y": ["d", -1e9]}
     deaf.notices._take(zlib.compress(json.dumps(told).encode()))
