--- a/tests/test_server_entries.py
+++ b/tests/test_server_entries.py
@@ -100,9 +100,9 @@
 class _Notices:
   """Nobody tells anything."""
 
-  tells = False
+  is_announcer = False
 
-  def agrees(self, name):
+  def is_up_to_date(self, name):
     del name
     return True
 
