--- a/mustardfall/budget/handing.py
+++ b/mustardfall/budget/handing.py
@@ -112,7 +112,7 @@
     its own; what stayed here would lie idle, out of its reach. While the
     KV is away nothing can be given back, and idle tokens may be needed.
     """
-    if not self._config.owned or self._writer.away:
+    if not self._config.owned or self._writer.is_paused:
       return
     now = self._clock.monotonic()
     for row in self._table.rows.values():
--- a/mustardfall/gateway.py
+++ b/mustardfall/gateway.py
@@ -322,7 +322,7 @@
       self.accounts.pool.tick(now - last)
       self.directory.endpoints.tick(now)
       self.loads.add_up(now)
-      self.trackers.forget()
+      self.trackers.prune()
       await self.links.close_idle()
       last = now
 
--- a/mustardfall/kv/writer.py
+++ b/mustardfall/kv/writer.py
@@ -91,15 +91,15 @@
     self._committing = False
     self._flushing = False
     self._ended = False
-    self._away = False
+    self._paused = False
     """Whether the writer pauses since the KV did not take a batch."""
     self._random = random.Random()
     self.counts: collections.Counter[str] = collections.Counter()
 
   @property
-  def away(self) -> bool:
+  def is_paused(self) -> bool:
     """Whether the KV did not take the last batch."""
-    return self._away
+    return self._paused
 
   @property
   def backlog(self) -> int:
@@ -118,7 +118,7 @@
     """
     if self._ended:
       raise errors.KvUnavailableError("the writer has ended")
-    if self._away:
+    if self._paused:
       # A request waits for this. Queued behind the pause, it would be held
       # for up to `linger_s` and then fail all the same.
       raise errors.KvUnavailableError("the last transaction failed")
@@ -161,11 +161,11 @@
       while self._waiting or self._posted:
         await self._pace()
         if not await self.commit_once():
-          self._away = True
+          self._paused = True
           try:
             await anyio.sleep(self._config.linger_s)
           finally:
-            self._away = False
+            self._paused = False
 
   async def _pace(self) -> None:
     """Waits as long as the pace asks before the next transaction."""
--- a/mustardfall/membership/datagrams.py
+++ b/mustardfall/membership/datagrams.py
@@ -72,7 +72,7 @@
     self._host = host
     self._port = port
     self._overhead = overhead
-    self._takers: dict[bytes, TakeFrom] = {}
+    self._handlers: dict[bytes, TakeFrom] = {}
     self._udp: abc.UDPSocket | None = None
     self._sending = anyio.Lock()
     """A socket refuses a second task that sends while one does."""
@@ -92,9 +92,9 @@
 
   def connect_with_sender(self, kind: Kind, take: TakeFrom) -> None:
     """The same for one who answers."""
-    self._takers[kind.value] = take
+    self._handlers[kind.value] = take
 
-  async def tell(
+  async def send(
       self, kind: Kind, content: bytes, told: Iterable[members_lib.Member]
   ) -> None:
     """Sends `content` to some routers, as far as they can be reached."""
@@ -103,15 +103,15 @@
       if host:
         await self._send(_Posted(kind, content, host))
 
-  def post(
+  def enqueue(
       self, kind: Kind, content: bytes, member: members_lib.Member
   ) -> None:
     """Sends `content` to a router soon, without waiting for it."""
     host = _host_of(member)
     if host:
-      self.post_to(kind, content, host)
+      self.enqueue_to(kind, content, host)
 
-  def post_to(self, kind: Kind, content: bytes, host: str) -> None:
+  def enqueue_to(self, kind: Kind, content: bytes, host: str) -> None:
     """Sends `content` to an address soon."""
     self._posted.append(_Posted(kind, content, host))
     self._post_came.set()
@@ -121,7 +121,7 @@
     if udp is None:
       return
     raw = posted.kind.value + posted.content
-    self._overhead.note(f"{posted.kind.name.lower()} told", len(raw))
+    self._overhead.record(f"{posted.kind.name.lower()} told", len(raw))
     try:
       async with self._sending:
         await udp.sendto(raw, posted.host, self._port)
@@ -144,7 +144,7 @@
         async with anyio.create_task_group() as tasks:
           tasks.start_soon(self._send_posted)
           async for raw, sender in udp:
-            self._take(raw, sender[0])
+            self._handle(raw, sender[0])
           tasks.cancel_scope.cancel()
       finally:
         self._udp = None
@@ -156,9 +156,9 @@
       while self._posted:
         await self._send(self._posted.popleft())
 
-  def _take(self, raw: bytes, sender: str) -> None:
-    self._overhead.note("datagram heard", len(raw))
-    take = self._takers.get(raw[:1])
+  def _handle(self, raw: bytes, sender: str) -> None:
+    self._overhead.record("datagram heard", len(raw))
+    take = self._handlers.get(raw[:1])
     try:
       if take is None:
         raise ValueError("unknown kind")
--- a/mustardfall/membership/loadshare.py
+++ b/mustardfall/membership/loadshare.py
@@ -54,7 +54,7 @@
     the same one: it would hear from all, and the rest from nobody."""
     datagrams.connect(datagrams_lib.Kind.LOADS, self._take)
 
-  def note(self) -> None:
+  def mark_changed(self) -> None:
     """Notes that what this router has at an endpoint has changed."""
     self._changed.set()
 
@@ -79,10 +79,10 @@
     raw = loads_lib.encode(self._loads.report())
     others = self._members.others
     if not self._members.is_large:
-      await self._datagrams.tell(datagrams_lib.Kind.LOADS, raw, others)
+      await self._datagrams.send(datagrams_lib.Kind.LOADS, raw, others)
       return 0
     told = self._next(others)
-    await self._datagrams.tell(datagrams_lib.Kind.LOADS, raw, told)
+    await self._datagrams.send(datagrams_lib.Kind.LOADS, raw, told)
     return len(raw) * len(told)
 
   def _next(self, others: list[members_lib.Member]) -> list[members_lib.Member]:
--- a/mustardfall/membership/notices.py
+++ b/mustardfall/membership/notices.py
@@ -153,7 +153,7 @@
     content = self._encode(changes)
     if len(content) > _MOST_BYTES:
       content = self._encode({})
-    await self._datagrams.tell(datagrams_lib.Kind.NOTICE, content, near)
+    await self._datagrams.send(datagrams_lib.Kind.NOTICE, content, near)
 
   def _encode(self, changes: dict[str, deltas.Delta]) -> bytes:
     now = self._clock.monotonic()
--- a/mustardfall/membership/trackers.py
+++ b/mustardfall/membership/trackers.py
@@ -46,7 +46,7 @@
       self.done.set()
 
 
-class Sent(NamedTuple):
+class TrackedRequest(NamedTuple):
   """A request as those who track its endpoint know it."""
 
   endpoint: str
@@ -126,7 +126,7 @@
     try:
       for tracker, endpoints in asked.items():
         content = _encode([number, prefix, endpoints])
-        self._datagrams.post(datagrams_lib.Kind.SURVEY, content, tracker)
+        self._datagrams.enqueue(datagrams_lib.Kind.SURVEY, content, tracker)
       with anyio.move_on_after(_ANSWER_S):
         await survey.done.wait()
     finally:
@@ -145,7 +145,7 @@
         for endpoint in endpoints
     ]
     content = _encode([int(number), found])
-    self._datagrams.post_to(datagrams_lib.Kind.STANDING, content, sender)
+    self._datagrams.enqueue_to(datagrams_lib.Kind.STANDING, content, sender)
 
   def _take_answer(self, raw: bytes) -> None:
     number, found = json.loads(raw)
@@ -162,18 +162,22 @@
       )
       survey.take(endpoint, standing)
 
-  def note_sent(self, endpoint: str, prefix: str, reading_s: float) -> Sent:
+  def note_sent(
+      self, endpoint: str, prefix: str, reading_s: float
+  ) -> TrackedRequest:
     """Tells that a request is on its way to an endpoint."""
     request = f"{next(self._numbers):x}.{self._members.me.name}"
     self._tell(["sent", endpoint, request, prefix, round(reading_s, 4)])
-    return Sent(endpoint, request)
+    return TrackedRequest(endpoint, request)
 
-  def note_first(self, sent: Sent, expected_s: float, took_s: float) -> None:
+  def note_first(
+      self, sent: TrackedRequest, expected_s: float, took_s: float
+  ) -> None:
     """Tells how long an endpoint's first token took."""
     times = [round(expected_s, 4), round(took_s, 4)]
     self._tell(["first", sent.endpoint, *times])
 
-  def note_end(self, sent: Sent, failed: bool) -> None:
+  def note_end(self, sent: TrackedRequest, failed: bool) -> None:
     """Tells that a request has left an endpoint."""
     self._tell(["end", sent.endpoint, sent.request, failed])
 
@@ -183,7 +187,7 @@
       if tracker.life == self._members.me.life:
         self._take_note(content)
       else:
-        self._datagrams.post(datagrams_lib.Kind.TRACK, content, tracker)
+        self._datagrams.enqueue(datagrams_lib.Kind.TRACK, content, tracker)
 
   def _take_note(self, raw: bytes) -> None:
     step, endpoint, *facts = json.loads(raw)
@@ -200,7 +204,7 @@
     else:
       raise ValueError(f"unknown step {step!r}")
 
-  def forget(self) -> None:
+  def prune(self) -> None:
     """Drops what was noted of routers that are passed over no more."""
     now = self._clock.monotonic()
     for life, until in list(self._silent_until.items()):
--- a/mustardfall/membership/verdicts.py
+++ b/mustardfall/membership/verdicts.py
@@ -87,7 +87,7 @@
     content = json.dumps(suspect).encode()
     for judge in self._judges(suspect.fingerprint):
       for _ in range(2):  # one datagram in some hundreds is lost
-        self._datagrams.post(datagrams_lib.Kind.SUSPECT, content, judge)
+        self._datagrams.enqueue(datagrams_lib.Kind.SUSPECT, content, judge)
     self._judge(suspect)
 
   def note_success(self, fingerprint: str) -> None:
@@ -102,7 +102,7 @@
     # Dozens run at an endpoint that ends, and most succeed at the next one.
     content = deltas.pack([sound])
     for judge in self._judges(fingerprint):
-      self._datagrams.post(datagrams_lib.Kind.VERDICT, content, judge)
+      self._datagrams.enqueue(datagrams_lib.Kind.VERDICT, content, judge)
 
   def _judges(self, fingerprint: str) -> list[members_lib.Member]:
     """Returns the other routers that count what ends under a request."""
@@ -173,7 +173,7 @@
     told = list(told)
     for begin in range(0, len(verdicts), _TOLD_AT_ONCE):
       content = deltas.pack(verdicts[begin : begin + _TOLD_AT_ONCE])
-      await self._datagrams.tell(datagrams_lib.Kind.VERDICT, content, told)
+      await self._datagrams.send(datagrams_lib.Kind.VERDICT, content, told)
 
   async def _write(self, verdict: quarantine.Verdict) -> None:
     """Writes a verdict down, for as long as it holds."""
--- a/mustardfall/overhead.py
+++ b/mustardfall/overhead.py
@@ -48,7 +48,7 @@
         self.sizes,
     )
 
-  def note(self, kind: str, size: int) -> None:
+  def record(self, kind: str, size: int) -> None:
     """Notes a call or datagram of `size` bytes, both ways together."""
     self.counts[kind] += 1
     self.sizes[kind] += size
--- a/mustardfall/proxy/calls.py
+++ b/mustardfall/proxy/calls.py
@@ -88,7 +88,7 @@
         size += len(content)
         return Reply(answer.status, content)
     finally:
-      self._overhead.note(overhead_lib.name_call(target), size)
+      self._overhead.record(overhead_lib.name_call(target), size)
       await exchange.close()
     assert scope.cancelled_caught
     raise errors.BrokenAnswerError(f"{target}: no answer in {timeout_s} s")
--- a/mustardfall/proxy/placer.py
+++ b/mustardfall/proxy/placer.py
@@ -39,7 +39,7 @@
     place.row.in_flight += 1
     prefix = job_lib.prompt_of(job.request).prefix
     load_share.note_sent(place.row.life, prefix)
-    self._sent: trackers_lib.Sent | None = None
+    self._sent: trackers_lib.TrackedRequest | None = None
     if trackers.is_used:
       self._sent = trackers.note_sent(place.row.life, prefix, place.reading_s)
 
@@ -55,7 +55,7 @@
   def end_reading(self) -> None:
     """Notes that the prompt has been read."""
     self._reading.end()
-    self._load_share.note()
+    self._load_share.mark_changed()
 
   def end(self, failed: bool) -> None:
     """Notes that the request has left the endpoint."""
@@ -118,7 +118,9 @@
   def note_unreachable(self, row: endpoints.Row) -> None:
     """Notes that an endpoint took no connection."""
     if self._trackers.is_used:
-      self._trackers.note_end(trackers_lib.Sent(row.life, ""), failed=True)
+      self._trackers.note_end(
+          trackers_lib.TrackedRequest(row.life, ""), failed=True
+      )
 
   def begin(self, job: job_lib.Job, place: placement.Place) -> Visit:
     """Notes that a request is on its way; returns what it is until its end."""
--- a/tests/test_notices.py
+++ b/tests/test_notices.py
@@ -44,7 +44,7 @@
   """Carries notices between routers; loses what it is told to lose."""
 
   def __init__(self) -> None:
-    self.takers = {}
+    self.handlers = {}
     self.lose = lambda sender: False
     self.bytes = 0
 
@@ -62,15 +62,15 @@
 
   def connect(self, kind, take):
     assert kind is datagrams.Kind.NOTICE
-    self._net.takers[self._name] = take
+    self._net.handlers[self._name] = take
 
-  async def tell(self, kind, content, told):
+  async def send(self, kind, content, told):
     del kind
     for member in told:
       self._net.bytes += len(content)
-      is_there = member.name in self._net.takers
+      is_there = member.name in self._net.handlers
       if is_there and not self._net.lose(self._name):
-        self._net.takers[member.name](content)
+        self._net.handlers[member.name](content)
 
 
 class _Store:
--- a/tests/test_overhead.py
+++ b/tests/test_overhead.py
@@ -11,8 +11,8 @@
   def test_totals_are_served_by_kind(self):
     instruments = metrics.Instruments("r")
     spent = overhead.Overhead(instruments)
-    spent.note("load report sent", 200)
-    spent.note("load report sent", 100)
+    spent.record("load report sent", 200)
+    spent.record("load report sent", 100)
     text = instruments.render()
     self.assertIn('mustardfall_control_total{kind="load report sent"} 2', text)
     self.assertIn(
--- a/tests/test_tracking.py
+++ b/tests/test_tracking.py
@@ -180,22 +180,22 @@
 
   def __init__(self, net: _Net, host: str) -> None:
     self._net, self._host = net, host
-    self._takers = {}
+    self._handlers = {}
     self.sent = 0
 
   def connect(self, kind, take):
-    self._takers[kind] = lambda content, sender: take(content)
+    self._handlers[kind] = lambda content, sender: take(content)
 
   def connect_with_sender(self, kind, take):
-    self._takers[kind] = take
+    self._handlers[kind] = take
 
-  def post(self, kind, content, member):
-    self.post_to(kind, content, datagrams._host_of(member))
+  def enqueue(self, kind, content, member):
+    self.enqueue_to(kind, content, datagrams._host_of(member))
 
-  def post_to(self, kind, content, host):
+  def enqueue_to(self, kind, content, host):
     self.sent += 1
     if host not in self._net.dead:
-      self._net.ports[host]._takers[kind](content, self._host)
+      self._net.ports[host]._handlers[kind](content, self._host)
 
 
 def _member(i: int) -> members_lib.Member:
@@ -259,7 +259,7 @@
       trackers.Trackers(view, port, self.clock)
       for kind in (b"q", b"a", b"t"):
         for raw in (b"", b"[]", b"{}", b"3", b'["sent"]', b"[1,2,3]", b"\xff"):
-          port._take(kind + raw, "10.1.0.9")
-        port._take(kind + b"[" * 50_000, "10.1.0.9")
+          port._handle(kind + raw, "10.1.0.9")
+        port._handle(kind + b"[" * 50_000, "10.1.0.9")
 
     virtual.run(go)
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -43,21 +43,21 @@
 
   def __init__(self, net: _Net, name: str) -> None:
     self._net = net
-    self._takers = {}
+    self._handlers = {}
     net.ports[name] = self
 
   def connect(self, kind, take):
-    self._takers[kind] = take
+    self._handlers[kind] = take
 
-  def post(self, kind, content, member):
+  def enqueue(self, kind, content, member):
     self._net.sent += 1
     is_there = member.name in self._net.ports
     if is_there and self._net.random.random() >= self._net.lost:
-      self._net.ports[member.name]._takers[kind](content)
+      self._net.ports[member.name]._handlers[kind](content)
 
-  async def tell(self, kind, content, told):
+  async def send(self, kind, content, told):
     for member in told:
-      self.post(kind, content, member)
+      self.enqueue(kind, content, member)
 
 
 class _Store:
