--- a/mustardfall/kv/client.py
+++ b/mustardfall/kv/client.py
@@ -1,9 +1,9 @@
-"""An async client for the subset of the etcd v3 JSON gateway we use.
+"""An async client for the subset of the etcd v3 JSON gateway in use.
 
-Keys and values travel base64-encoded, as the gateway wants. Failures
-are split by what they mean for a write: `errors.KvUnavailableError` when the
+Keys and values are base64-encoded, as the gateway requires. Failures are
+classified by their effect on a write: `errors.KvUnavailableError` when the
 request cannot have reached the service, `errors.KvUnknownError` when it may
-have taken effect without our hearing so.
+have taken effect although no answer arrived.
 """
 
 import base64
@@ -18,7 +18,7 @@
 from mustardfall.kv import protocol
 
 CLIENT_HEADER = "x-mustardfall-client"
-"""Names the caller to the stand-in, which can cut it off (a partition)."""
+"""Identifies the caller to the stand-in, which can simulate a partition."""
 
 
 def _b64(text: str | bytes) -> str:
@@ -47,8 +47,8 @@
 
 @functools.singledispatch
 def _encode_op(op: protocol.Op) -> dict[str, Any]:
-  """Returns `op` as the gateway spells it."""
-  raise TypeError(f"no operation: {op!r}")
+  """Returns `op` in the gateway's JSON form."""
+  raise TypeError(f"not a KV operation: {op!r}")
 
 
 @_encode_op.register
@@ -75,7 +75,7 @@
   Args:
     url: base URL of the gateway, e.g. `http://127.0.0.1:2379`.
     name: sent in `CLIENT_HEADER` on every call.
-    timeout_s: seconds before a call is given up.
+    timeout_s: seconds before a call is abandoned.
     transport: an httpx transport, e.g. to an in-process stand-in.
   """
 
@@ -93,9 +93,9 @@
         transport=transport,
     )
     self.calls = 0
-    """Calls made, a waiting watch counted once."""
+    """Number of calls made; a watch counts once."""
     self.reachable = True
-    """Whether the store answered when last called."""
+    """Whether the store answered the last call."""
 
   async def close(self) -> None:
     """Closes the connection pool."""
@@ -111,7 +111,7 @@
     except httpx.HTTPError as exc:
       raise errors.KvUnknownError(f"{path}: {exc!r}") from exc
     if reply.status_code == 503:
-      raise errors.KvUnavailableError(f"{path}: unavailable")
+      raise errors.KvUnavailableError(f"{path}: status 503, unavailable")
     if reply.status_code >= 500:
       raise errors.KvUnknownError(f"{path}: status {reply.status_code}")
     self.reachable = True
@@ -130,7 +130,7 @@
     return {record.key: record for record in result.records}
 
   async def get_prefix(self, prefix: str) -> tuple[int, list[protocol.Record]]:
-    """Returns the revision and every record whose key starts so."""
+    """Returns the revision and all records whose key starts with `prefix`."""
     body = await self._call(
         "/v3/kv/range", {"key": _b64(prefix), "range_end": _prefix_end(prefix)}
     )
@@ -142,8 +142,8 @@
   ) -> AsyncIterator[tuple[int, list[protocol.Record]]]:
     """Yields what `get_prefix` returns, `limit` records at a time.
 
-    Pages may be read at different revisions: whoever needs one state
-    watches on from the first page's.
+    Pages may be read at different revisions. For a consistent state, watch
+    the prefix from the revision of the first page on.
     """
     start, end = _b64(prefix), _prefix_end(prefix)
     while True:
@@ -172,8 +172,8 @@
     """Runs a compare-and-swap transaction.
 
     Returns:
-      Whether the compares held, the revision after, and the records of
-      any range operations in the branch that ran.
+      Whether the compares held, the revision after the transaction, and the
+      records of any range operations in the branch that ran.
     """
     body = {
         "compare": [
@@ -207,12 +207,12 @@
     return int(body["ID"])
 
   async def keep_alive(self, lease: int) -> int:
-    """Renews `lease`; returns the TTL left, 0 when it has lapsed."""
+    """Renews `lease`; returns the remaining TTL, 0 when it has expired."""
     body = await self._call("/v3/lease/keepalive", {"ID": str(lease)})
     return int(body.get("result", {}).get("TTL", 0))
 
   async def revoke_lease(self, lease: int) -> None:
-    """Ends `lease`; the keys under it are deleted."""
+    """Revokes `lease`; the keys attached to it are deleted."""
     await self._call("/v3/lease/revoke", {"ID": str(lease)})
 
   async def watch(
@@ -220,10 +220,10 @@
   ) -> AsyncIterator[protocol.Event]:
     """Yields every change under `prefix` from `start_revision` on.
 
-    Progress notifications are asked for, so a healthy watch is never
-    silent for long. A partition that drops packets without a reset would
-    otherwise leave the watch open and dead, and its reader on old state
-    for ever; `idle_s` without a byte ends it as broken.
+    The watch requests progress notifications, so a healthy one is never
+    idle for long. It is closed as broken after `idle_s` without a byte: a
+    partition that drops packets without a reset would otherwise leave it
+    open for ever, and its reader with outdated state.
 
     Raises:
       errors.KvUnavailableError: the watch broke; read again, then watch.
@@ -249,7 +249,9 @@
             continue
           result = json.loads(line).get("result", {})
           if result.get("canceled"):
-            raise errors.KvUnavailableError("watch: cancelled, history gone")
+            raise errors.KvUnavailableError(
+                "watch: cancelled, history compacted"
+            )
           for event in result.get("events") or []:
             deleted = event.get("type", "PUT") == "DELETE"
             yield protocol.Event(deleted, _record(event["kv"]))
--- a/mustardfall/kv/protocol.py
+++ b/mustardfall/kv/protocol.py
@@ -1,8 +1,8 @@
-"""The key-value store as the program sees it, whichever product serves it.
+"""The interface of the key-value store, independent of the product behind it.
 
-Failures are split by what they mean for a write:
-`errors.KvUnavailableError` when it had no effect,
-`errors.KvUnknownError` when it may have taken effect unheard.
+Failures are classified by their effect on a write:
+`errors.KvUnavailableError` when it had no effect, `errors.KvUnknownError`
+when it may have taken effect although no answer arrived.
 """
 
 from collections.abc import AsyncIterator
@@ -10,7 +10,7 @@
 
 
 class Record(NamedTuple):
-  """One key as the service holds it."""
+  """A key with its value and versions, as stored."""
 
   key: str
   value: bytes
@@ -19,14 +19,14 @@
 
 
 class Event(NamedTuple):
-  """One change seen by a watch; `value` is empty when deleted."""
+  """A change reported by a watch; the record's value is empty if deleted."""
 
   deleted: bool
   record: Record
 
 
 class Compare(NamedTuple):
-  """One condition of a transaction: `target` of `key` equals `expected`."""
+  """A condition of a transaction: `target` of `key` equals `expected`."""
 
   key: str
   target: str  # "MOD" or "VERSION"
@@ -34,7 +34,7 @@
 
 
 class TxnResult(NamedTuple):
-  """Whether the compares held, the revision, and records read."""
+  """Whether the compares held, the store's revision, and the records read."""
 
   succeeded: bool
   revision: int
@@ -42,7 +42,7 @@
 
 
 class Put(NamedTuple):
-  """Writes `value` at `key`, under a lease unless it is 0."""
+  """Writes `value` at `key`, attached to `lease` unless that is 0."""
 
   key: str
   value: bytes
@@ -66,16 +66,17 @@
 
 
 class Store(Protocol):
-  """What the program needs of a key-value store, whichever it is.
+  """The operations that the program needs from a key-value store.
 
-  `Client` serves it over the etcd gateway; the adapter of another
-  platform brings its own. Every call raises `errors.KvUnavailableError`
-  when it had no effect and `errors.KvUnknownError` when it may have had.
+  `client.Client` implements them over the etcd gateway; the adapter of
+  another platform has its own implementation. Every call raises
+  `errors.KvUnavailableError` when it had no effect and
+  `errors.KvUnknownError` when it may have had one.
   """
 
   calls: int
   reachable: bool
-  """Whether the store answered when last called."""
+  """Whether the store answered the last call."""
 
   async def close(self) -> None:
     """Closes the connections."""
@@ -87,7 +88,7 @@
     """Returns the records found at `keys`."""
 
   async def get_prefix(self, prefix: str) -> tuple[int, list[Record]]:
-    """Returns the revision and every record whose key starts so."""
+    """Returns the revision and all records whose key starts with `prefix`."""
 
   async def put(self, key: str, value: bytes, lease: int = 0) -> int:
     """Writes `value` at `key`; returns the new revision."""
@@ -104,10 +105,10 @@
     """Grants a lease of `ttl_s` seconds; returns its id."""
 
   async def keep_alive(self, lease: int) -> int:
-    """Renews `lease`; returns the TTL left, 0 when it has lapsed."""
+    """Renews `lease`; returns the remaining TTL, 0 when it has expired."""
 
   async def revoke_lease(self, lease: int) -> None:
-    """Ends `lease`; the keys under it are deleted."""
+    """Revokes `lease`; the keys attached to it are deleted."""
 
   def watch(
       self, prefix: str, start_revision: int, idle_s: float
--- a/mustardfall/kv/writer.py
+++ b/mustardfall/kv/writer.py
@@ -1,10 +1,10 @@
 """Group commit: many changes to many keys in one compare-and-swap call.
 
-The platform counts calls, and its rates grow slower than the fleet. So
-a router never writes a key by itself: it hands the change to its one
-`Writer`, which puts all that is waiting into a single transaction and
-leaves at least `interval_s` between two of them. Writes then grow with
-routers and time, never with requests or budgets.
+The platform limits the rate of calls, and the limit grows more slowly than
+the fleet. A router therefore never writes a single key: it passes the change
+to its one `Writer`, which combines all pending changes into one transaction
+and leaves at least `interval_s` between two of them. The number of writes
+grows with routers and time, not with requests or budgets.
 """
 
 import collections
@@ -25,46 +25,48 @@
 logger = logging.getLogger(__name__)
 
 _ATTEMPTS = 24
-"""Tries of one transaction before its changes are given up."""
-_MOST_LOST_REPLIES = 8
-"""Of these, tries whose answer was lost; each takes as long as a call may."""
-_CONFLICT_PAUSE_S = 0.004
-"""Longest pause after a first conflict, as long as a call takes; it grows with
-each further one, so that those who write the same key take turns."""
-_MOST_CONFLICT_PAUSE_S = 0.02
-_FLUSH_STEP_S = 0.02
+"""Attempts to commit a transaction before its changes fail."""
+_MAX_LOST_REPLIES = 8
+"""Attempts among these whose reply may be lost; each takes a full timeout."""
+_CONFLICT_BACKOFF_S = 0.004
+"""Upper bound of the random pause after a first conflict, about the duration
+of a call. It grows with each further conflict, so that routers that write the
+same key take turns."""
+_MAX_CONFLICT_BACKOFF_S = 0.02
+_FLUSH_POLL_S = 0.02
 _CACHE_KEYS = 20_000
-"""Records remembered, so that most changes need no read first."""
+"""Values cached, so that most changes need no read first."""
 
 
 @dataclasses.dataclass
 class _Submission:
-  """One change waiting to be written, and what became of it."""
+  """A pending change and its outcome."""
 
   key: str
   change: Any
   done: anyio.Event | None = None
-  """None for a posted change: nobody waits, it is tried until it holds."""
+  """Set once the change was written or failed. None for a posted change, which
+  nobody waits for and which is retried until it is written."""
   after: change_lib.Value | None = None
   error: errors.Error | None = None
 
 
-class _Seen(NamedTuple):
-  """A value and the revision it was last seen at (None, 0: absent)."""
+class _CachedValue(NamedTuple):
+  """A cached value and the revision it was read at (None, 0: absent)."""
 
   value: change_lib.Value | None
   revision: int
 
 
-_ABSENT = _Seen(None, 0)
+_ABSENT = _CachedValue(None, 0)
 
 
 class Writer:
-  """Writes a router's changes in batches; run `run` beside it.
+  """Writes a router's changes in batches; `run` must run as a task.
 
   Args:
     kv: the KV client.
-    config: batch size and pace.
+    config: batch size and intervals.
     clock: the time source.
     on_value: called with `(key, value)` for each value read or written.
     lease_of: returns the lease to attach to a key (0: none).
@@ -86,42 +88,46 @@
     self._waiting: collections.deque[_Submission] = collections.deque()
     self._posted: collections.deque[_Submission] = collections.deque()
     self._wake = anyio.Event()
-    self._seen: collections.OrderedDict[str, _Seen] = collections.OrderedDict()
+    self._cache: collections.OrderedDict[str, _CachedValue] = (
+        collections.OrderedDict()
+    )
     self._last_commit = -float("inf")
     self._committing = False
     self._flushing = False
-    self._ended = False
+    self._stopped = False
     self._paused = False
-    """Whether the writer pauses since the KV did not take a batch."""
+    """Whether the writer pauses because the last batch failed."""
     self._random = random.Random()
     self.counts: collections.Counter[str] = collections.Counter()
 
   @property
   def is_paused(self) -> bool:
-    """Whether the KV did not take the last batch."""
+    """Whether the writer pauses because the last batch failed."""
     return self._paused
 
   @property
   def backlog(self) -> int:
-    """Posted changes not yet written."""
+    """Number of posted changes not yet written."""
     return len(self._posted)
 
   async def submit(self, key: str, change: Any) -> change_lib.Value | None:
     """Writes `change` in the next batch and waits for it.
 
     Returns:
-      The value after it, or as found when there was nothing to write.
+      The value after the change, or the current one if it was a no-op.
 
     Raises:
       errors.KvUnavailableError: not written.
       errors.KvUnknownError: it may have been written.
     """
-    if self._ended:
-      raise errors.KvUnavailableError("the writer has ended")
+    if self._stopped:
+      raise errors.KvUnavailableError(f"{key} not written: writer has stopped")
     if self._paused:
-      # A request waits for this. Queued behind the pause, it would be held
-      # for up to `linger_s` and then fail all the same.
-      raise errors.KvUnavailableError("the last transaction failed")
+      # A request waits for this change. Queued, it would wait for up to
+      # `linger_s` and then most likely fail as well.
+      raise errors.KvUnavailableError(
+          f"{key} not written: the last transaction failed"
+      )
     submission = _Submission(key, change, anyio.Event())
     self._waiting.append(submission)
     self._wake.set()
@@ -131,26 +137,28 @@
     return submission.after
 
   def post(self, key: str, change: Any) -> None:
-    """Writes `change` some time later, tried until the KV takes it.
+    """Queues `change`, which is retried until it is written.
 
-    For changes that must land but that nobody waits for (a settlement,
-    an outcome). They ride along with waiting ones, or go by themselves
-    after `linger_s`.
+    For changes that must be written but that nobody waits for (a
+    settlement, an outcome). They are written in the next batch of submitted
+    changes, or after `linger_s` without one.
     """
     self._posted.append(_Submission(key, change))
     self._wake.set()
 
   async def run(self) -> None:
     """Commits batches until cancelled."""
-    self._ended = False
+    self._stopped = False
     try:
       await self._run()
     finally:
-      # Grants are waited for under a shield. Left waiting for a writer that
-      # has ended, they would keep a stopping process from ever exiting.
-      self._ended = True
+      # Callers wait for grants in a shielded scope. A wait for a writer that
+      # has stopped would keep the process from ever exiting.
+      self._stopped = True
       for submission in self._waiting:
-        submission.error = errors.KvUnavailableError("the writer has ended")
+        submission.error = errors.KvUnavailableError(
+            f"{submission.key} not written: writer has stopped"
+        )
         submission.done.set()
       self._waiting.clear()
 
@@ -159,7 +167,7 @@
       await self._wake.wait()
       self._wake = anyio.Event()
       while self._waiting or self._posted:
-        await self._pace()
+        await self._throttle()
         if not await self.commit_once():
           self._paused = True
           try:
@@ -167,16 +175,19 @@
           finally:
             self._paused = False
 
-  async def _pace(self) -> None:
-    """Waits as long as the pace asks before the next transaction."""
+  async def _throttle(self) -> None:
+    """Waits until the next transaction may start.
+
+    That is `interval_s` after the last one when callers wait, else `linger_s`.
+    """
     while True:
       since = self._clock.monotonic() - self._last_commit
-      in_a_hurry = self._waiting or self._flushing
+      is_urgent = self._waiting or self._flushing
       config = self._config
-      pause = (config.interval_s if in_a_hurry else config.linger_s) - since
+      pause = (config.interval_s if is_urgent else config.linger_s) - since
       if pause <= 0:
         return
-      if in_a_hurry:
+      if is_urgent:
         await anyio.sleep(pause)
         return
       with anyio.move_on_after(pause):
@@ -184,63 +195,67 @@
       self._wake = anyio.Event()
 
   async def flush(self, deadline_s: float) -> None:
-    """Waits until all that was posted is written, or for `deadline_s`.
+    """Waits until all pending changes are written, for at most `deadline_s`.
 
-    For a graceful stop, while `run` still runs.
+    For a graceful stop; `run` must still be running.
     """
     self._flushing = True
     self._wake.set()
     with anyio.move_on_after(deadline_s):
       while self._waiting or self._posted or self._committing:
-        await anyio.sleep(_FLUSH_STEP_S)
+        await anyio.sleep(_FLUSH_POLL_S)
 
   async def commit_once(self) -> bool:
-    """Writes one batch; returns False when the KV did not take it."""
-    batch = self._take()
+    """Writes one batch; returns False when the KV was unavailable."""
+    batch = self._next_batch()
     self._committing = True
     try:
-      return await self._commit_or_give_up(batch)
-    except BaseException:  # cancelled: the changes may have landed
-      self._give_up(batch, errors.KvUnknownError("writer stopped"))
+      return await self._try_commit(batch)
+    except BaseException:  # cancelled: the changes may have been written
+      self._fail_or_requeue(
+          batch, errors.KvUnknownError("writer stopped during a transaction")
+      )
       raise
     finally:
       self._committing = False
       self._last_commit = self._clock.monotonic()
 
-  async def _commit_or_give_up(self, batch: list[_Submission]) -> bool:
-    """Writes changes, or gives them up; returns whether the KV answered."""
+  async def _try_commit(self, batch: list[_Submission]) -> bool:
+    """Writes changes, or marks them failed; returns whether the KV answered."""
     try:
       is_written = await self._commit(batch)
     except (errors.KvUnavailableError, errors.KvUnknownError) as exc:
       self.counts["failed"] += 1
-      self._give_up(batch, exc)
+      self._fail_or_requeue(batch, exc)
       return isinstance(exc, errors.KvConflictError)
     if not is_written:
-      return await self._commit_apart(batch)
+      return await self._commit_per_key(batch)
     for submission in batch:
       if submission.done is not None:
         submission.done.set()
     return True
 
-  async def _commit_apart(self, batch: list[_Submission]) -> bool:
-    """Writes changes key by key, since others write some of the keys, too.
+  async def _commit_per_key(self, batch: list[_Submission]) -> bool:
+    """Writes changes in one transaction per key, after a conflict.
 
-    One transaction of all would meet another writer again and again, and take
-    the changes along that nobody else is in the way of.
+    While other routers write some of the keys, a transaction of all keys would
+    conflict again and again, and delay the changes to uncontended keys.
     """
     by_key: dict[str, list[_Submission]] = {}
     for submission in batch:
       by_key.setdefault(submission.key, []).append(submission)
     answered = True
-    for part in by_key.values():
+    for key_batch in by_key.values():
       if answered:
-        answered = await self._commit_or_give_up(part)
+        answered = await self._try_commit(key_batch)
       else:
-        self._give_up(part, errors.KvUnavailableError("the KV is away"))
+        self._fail_or_requeue(
+            key_batch, errors.KvUnavailableError("KV unavailable")
+        )
     return answered
 
-  def _take(self) -> list[_Submission]:
-    """Takes waiting, then posted, changes of up to `max_keys` keys."""
+  def _next_batch(self) -> list[_Submission]:
+    """Dequeues submitted, then posted, changes to at most `max_keys` keys."""
     batch, keys = [], set()
     for queue in (self._waiting, self._posted):
       for _ in range(len(queue)):
@@ -252,9 +267,12 @@
           queue.append(submission)
     return batch
 
-  def _give_up(self, batch: list[_Submission], exc: errors.Error) -> None:
+  def _fail_or_requeue(
+      self, batch: list[_Submission], exc: errors.Error
+  ) -> None:
+    """Reports `exc` to callers that wait, and queues posted changes again."""
     for submission in batch:
-      self._seen.pop(submission.key, None)
+      self._cache.pop(submission.key, None)
       if submission.done is not None and submission.done.is_set():
         continue
       if submission.done is None:
@@ -267,16 +285,17 @@
     """Writes changes in one transaction.
 
     Returns:
-      False when another wrote one of several keys first: nothing is written.
+      False when another writer changed one of several keys first; then nothing
+      was written.
 
     Raises:
       errors.KvUnavailableError, errors.KvUnknownError: see `submit`.
     """
     keys = list(dict.fromkeys(s.key for s in batch))
-    sent = unsure = False
+    sent = may_be_written = False
     lost_replies = 0
     for attempt in range(_ATTEMPTS):
-      if lost_replies >= _MOST_LOST_REPLIES:
+      if lost_replies >= _MAX_LOST_REPLIES:
         break
       try:
         values = await self._prepare(batch, keys)
@@ -287,42 +306,46 @@
         if await self._swap(values):
           return True
         sent = False
-        if len(keys) > 1 and not unsure:
+        if len(keys) > 1 and not may_be_written:
           return False
-        await self._let_others_pass(attempt)
+        await self._back_off(attempt)
       except errors.KvUnknownError:
-        # A reply was lost; if it was a write's, the write may stand.
-        # Forget what we knew: the re-read shows each change its own
-        # mark if it took effect, so nothing is applied twice.
+        # A reply was lost; if it was that of a write, the write may have
+        # taken effect. Drop the cached values: a value read again contains
+        # the id of each change that took effect, so none is applied twice.
         self.counts["lost_replies"] += 1
         lost_replies += 1
-        unsure = unsure or sent
+        may_be_written = may_be_written or sent
         for key in keys:
-          self._seen.pop(key, None)
+          self._cache.pop(key, None)
       except errors.KvUnavailableError as exc:
-        # Refused now, but an earlier try of ours may have landed.
-        raise (errors.KvUnknownError(str(exc)) if unsure else exc) from exc
-    kind = errors.KvUnknownError if unsure else errors.KvConflictError
-    raise kind(f"{len(keys)} keys: others were first, or answers were lost")
+        # This attempt had no effect, but an earlier one may have had.
+        raise (
+            errors.KvUnknownError(str(exc)) if may_be_written else exc
+        ) from exc
+    kind = errors.KvUnknownError if may_be_written else errors.KvConflictError
+    raise kind(
+        f"{len(keys)} keys: transaction failed after conflicts or lost replies"
+    )
 
-  async def _let_others_pass(self, conflicts: int) -> None:
-    """Pauses for a moment that grows with the conflicts so far."""
-    most_s = min(_MOST_CONFLICT_PAUSE_S, (conflicts + 1) * _CONFLICT_PAUSE_S)
-    await anyio.sleep(most_s * self._random.random())
+  async def _back_off(self, conflicts: int) -> None:
+    """Pauses at random, for longer the more conflicts there were."""
+    max_s = min(_MAX_CONFLICT_BACKOFF_S, (conflicts + 1) * _CONFLICT_BACKOFF_S)
+    await anyio.sleep(max_s * self._random.random())
 
   async def _prepare(
       self, batch: list[_Submission], keys: list[str]
   ) -> dict[str, change_lib.Value]:
-    """Returns the values to write, having read what must be read."""
-    fresh = {k for k in keys if k not in self._seen}
+    """Returns the values to write; reads keys that are not cached."""
+    fresh = {k for k in keys if k not in self._cache}
     await self._read(list(fresh))
-    values, unsure = self._plan(batch, fresh)
-    if unsure:
-      # A remembered value says "nothing to write", e.g. a grant refused
-      # for want of headroom that a top-up has since added. Refusing on
-      # memory would be a false refusal, so read before believing it.
-      await self._read(unsure)
-      values, _ = self._plan(batch, fresh.union(unsure))
+    values, unconfirmed = self._plan(batch, fresh)
+    if unconfirmed:
+      # By a cached value there is nothing to write, e.g. a grant is refused
+      # for lack of headroom, but a top-up may have added headroom since.
+      # Read again, as a refusal based on a stale value would be wrong.
+      await self._read(unconfirmed)
+      values, _ = self._plan(batch, fresh.union(unconfirmed))
     return values
 
   async def _read(self, keys: list[str]) -> None:
@@ -331,29 +354,33 @@
     found = await self._kv.get_many(keys)
     self.counts["reads"] += 1
     for key in keys:
-      self._remember(key, found.get(key))
+      self._cache_record(key, found.get(key))
 
   def _plan(
       self, batch: list[_Submission], fresh: set[str]
   ) -> tuple[dict[str, change_lib.Value], list[str]]:
-    """Returns the values to write, and keys whose no-ops need a read."""
+    """Returns the values to write, and keys to read again.
+
+    These are the keys of changes that are no-ops by a cached value.
+    """
     values: dict[str, change_lib.Value] = {}
-    unsure = []
+    unconfirmed = []
     for submission in batch:
       key = submission.key
-      before = values.get(key, self._seen[key].value)
+      before = values.get(key, self._cache[key].value)
       after = change_lib.apply(submission.change, before)
       if after is None:
         if key not in fresh:
-          unsure.append(key)
+          unconfirmed.append(key)
         submission.after = before
       else:
         values[key] = submission.after = after
-    return values, unsure
+    return values, unconfirmed
 
   async def _swap(self, values: dict[str, change_lib.Value]) -> bool:
     compares = [
-        protocol.Compare(key, "MOD", self._seen[key].revision) for key in values
+        protocol.Compare(key, "MOD", self._cache[key].revision)
+        for key in values
     ]
     puts = [
         protocol.Put(key, change_lib.encode(value), self._lease_of(key))
@@ -366,25 +393,25 @@
     if result.succeeded:
       self.counts["values_written"] += len(values)
       for key, value in values.items():
-        self._keep(key, _Seen(value, result.revision))
+        self._cache_value(key, _CachedValue(value, result.revision))
       return True
     self.counts["conflicts"] += 1
     found = {record.key: record for record in result.records}
     for key in values:
-      self._remember(key, found.get(key))
+      self._cache_record(key, found.get(key))
     return False
 
-  def _remember(self, key: str, record: protocol.Record | None) -> None:
+  def _cache_record(self, key: str, record: protocol.Record | None) -> None:
     if record is None:
-      self._keep(key, _ABSENT)
+      self._cache_value(key, _ABSENT)
     else:
       value = change_lib.decode(record.value)
-      self._keep(key, _Seen(value, record.mod_revision))
-
-  def _keep(self, key: str, seen: _Seen) -> None:
-    self._seen[key] = seen
-    self._seen.move_to_end(key)
-    if len(self._seen) > _CACHE_KEYS + self._config.max_keys:
-      self._seen.popitem(last=False)
-    if seen.value is not None:
-      self._on_value(key, seen.value)
+      self._cache_value(key, _CachedValue(value, record.mod_revision))
+
+  def _cache_value(self, key: str, cached: _CachedValue) -> None:
+    self._cache[key] = cached
+    self._cache.move_to_end(key)
+    if len(self._cache) > _CACHE_KEYS + self._config.max_keys:
+      self._cache.popitem(last=False)
+    if cached.value is not None:
+      self._on_value(key, cached.value)
--- a/mustardfall/overhead.py
+++ b/mustardfall/overhead.py
@@ -1,4 +1,4 @@
-"""What a router spends beside its requests: calls, datagrams, processor time."""
+"""Counts a router's control traffic (calls, datagrams) and processor time."""
 
 import collections
 from collections.abc import Callable
@@ -11,17 +11,18 @@
 
 logger = logging.getLogger(__name__)
 
-_REPORT_S = 10.0
-"""Between two log lines: few enough to stay, close enough to date a storm."""
-_PATH_PARTS = 3
-"""Parts of a path that name a call; ids come after them."""
+_LOG_INTERVAL_S = 10.0
+"""Interval between two log lines: long enough to keep the log small, short
+enough to date a burst of control traffic."""
+_KIND_SEGMENTS = 3
+"""Segments of a path that name the kind of call; ids come after them."""
 
 
 class Overhead:
   """Counts calls and datagrams by kind, and logs them with processor time.
 
   Args:
-    instruments: serves the totals.
+    instruments: exports the totals as metrics.
     processor_s: returns the processor time used so far, seconds.
   """
 
@@ -32,9 +33,9 @@
   ) -> None:
     self._processor_s = processor_s
     self.counts: collections.Counter[str] = collections.Counter()
-    """Calls and datagrams so far, by kind."""
+    """Number of calls and datagrams so far, by kind."""
     self.sizes: collections.Counter[str] = collections.Counter()
-    """Bytes of their contents so far, by kind."""
+    """Bytes of their payloads so far, by kind."""
     instruments.observe(
         "mustardfall.control",
         "",
@@ -49,22 +50,22 @@
     )
 
   def record(self, kind: str, size: int) -> None:
-    """Notes a call or datagram of `size` bytes, both ways together."""
+    """Counts a call or datagram of `size` bytes, both directions together."""
     self.counts[kind] += 1
     self.sizes[kind] += size
 
   async def run(self) -> None:
-    """Logs what was spent since the last line, until cancelled."""
+    """Logs the counts since the previous line, until cancelled."""
     used_s = 0.0
     counts, sizes = self.counts.copy(), self.sizes.copy()
     while True:
-      await anyio.sleep(_REPORT_S)
-      before_s, used_s = used_s, self._processor_s()
+      await anyio.sleep(_LOG_INTERVAL_S)
+      previous_s, used_s = used_s, self._processor_s()
       logger.info(
           "overhead",
           extra={
-              "seconds": _REPORT_S,
-              "processor_s": round(used_s - before_s, 3),
+              "seconds": _LOG_INTERVAL_S,
+              "processor_s": round(used_s - previous_s, 3),
               "counts": dict(self.counts - counts),
               "bytes": dict(self.sizes - sizes),
           },
@@ -75,4 +76,4 @@
 def name_call(target: str) -> str:
   """Returns the kind of a call to `target`: its path without ids."""
   path = target.partition("?")[0]
-  return "/".join(path.split("/")[:_PATH_PARTS])
+  return "/".join(path.split("/")[:_KIND_SEGMENTS])
--- a/tests/kvfake.py
+++ b/tests/kvfake.py
@@ -1,4 +1,4 @@
-"""The KV stand-in served in-process, with its faults at hand."""
+"""Serves the KV stand-in in-process, so that tests can inject its faults."""
 
 import contextlib
 
@@ -13,21 +13,21 @@
 
 
 def make(name: str = "test") -> tuple[kv_client.Client, kv_standin._Server]:
-  """Returns a client wired to a fresh in-process stand-in, and the stand-in."""
+  """Returns a client of a new in-process stand-in, and the stand-in."""
   return share(kv_standin._Server(), name)
 
 
 def share(
     server: kv_standin._Server, name: str
 ) -> tuple[kv_client.Client, kv_standin._Server]:
-  """Returns another caller's client to the same in-process stand-in."""
+  """Returns another client of the same in-process stand-in."""
   transport = httpx.ASGITransport(app=kv_standin.create_app(server))
   return kv_client.Client("http://kv", name, transport=transport), server
 
 
 @contextlib.asynccontextmanager
 async def writing(kv: kv_client.Client):
-  """Runs a batch writer without pauses on `kv`."""
+  """Runs a batch writer that does not pause between batches on `kv`."""
   config = settings.Writer(interval_s=0.0, linger_s=0.0)
   writer = writer_lib.Writer(kv, config, clock_lib.SystemClock())
   async with anyio.create_task_group() as tg:
