--- a/mustardfall/budget/granting.py
+++ b/mustardfall/budget/granting.py
@@ -65,7 +65,7 @@
     self._refusals = refusals
     self._settler = settler
     self._writer = writer
-    self._vouch = with_error_bound
+    self._with_error_bound = with_error_bound
     self._counts = counts
     self.asking: set[str] = set()
     """Grants asked of the KV whose answer is still out."""
@@ -112,7 +112,7 @@
         tokens=drawn + slack,
         grace_s=self._config.ceiling_grace_s,
         rate=rate,
-        issued=self._vouch(self._clock.moment()),
+        issued=self._with_error_bound(self._clock.moment()),
     )
     if row is not None:
       self._table.issue(row.gid, ceiling, self._clock.monotonic())
--- a/mustardfall/budget/renewals.py
+++ b/mustardfall/budget/renewals.py
@@ -95,7 +95,7 @@
     self._life = life
     self._table = table
     self._writer = writer
-    self._vouch = with_error_bound
+    self._with_error_bound = with_error_bound
     self._earlier: dict[str, clock_lib.Moment] = {}
     self._read = anyio.Event()
     self._pending: list[float] | None = None
@@ -148,7 +148,7 @@
       return
     if not table.keeps_promises():
       return
-    moment = self._vouch(self._clock.moment())
+    moment = self._with_error_bound(self._clock.moment())
     now = self._clock.monotonic()
     self._table.renew(now)
     self._pending = list(moment)
