--- a/mustardfall/membership/__init__.py
+++ b/mustardfall/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which routers are up, which of them owns a budget, and their own calls."""
+"""Router membership, ownership of budgets, and router-to-router messages."""
--- a/mustardfall/membership/clockcheck.py
+++ b/mustardfall/membership/clockcheck.py
@@ -1,9 +1,9 @@
-"""Whether this host's wall clock agrees with those of most routers.
+"""Checks whether this host's wall clock agrees with those of most routers.
 
-A later life of a router reads off the wall clock how long ago its host lost
-power, for the boot clock has started anew. Wall clocks may be stepped by
-seconds, on some hosts at once. One that agrees with most others when it is
-read has not been.
+After a loss of power the boot clock restarts, so a router computes from the
+wall clock how long its host was down. Wall clocks may be stepped by seconds,
+on several hosts at once. A clock that agrees with most others at the time of
+reading is assumed not to have been stepped.
 """
 
 import heapq
@@ -20,34 +20,34 @@
 logger = logging.getLogger(__name__)
 
 PATH = "/peer/clock"
-_AGREE_S = 0.25
-"""How far two clocks may differ and still agree. Clocks of one data centre
-are within some ms, a step is two seconds or more."""
-_CLOSE_S = 0.02
-"""Compared again until it is known this closely; calls between routers that
-have just started are slow, and tell less."""
-_PAUSE_S = 0.1
-"""Before the second round; each later one waits twice as long. Routers that
-start together answer one after the other, and the later for being asked."""
-_MOST_PAUSE_S = 0.5
-"""Longest pause while clocks do not agree yet."""
-_MOST_CLOSER_S = 64.0
-"""Longest pause once they agree, before a closer look."""
-_MOST_ASKED = 24
-"""Routers asked. All of a small fleet; of a large one a sample, since calls
-of all to all grow with its square."""
-_SAMPLE_SHARE = 2 / 3
-"""Of a sample that must agree. Were three in ten of 78 clocks stepped alike,
-a sample would hold so many of them five times in a million."""
-_WATCH_S = 1.0
-"""Between two looks whether the own clock has been stepped."""
+_MAX_DIFFERENCE_S = 0.25
+"""Maximum difference between two clocks that agree. Clocks of one data centre
+are within some ms of each other; a step is two seconds or more."""
+_TARGET_ERROR_S = 0.02
+"""The comparison is repeated until the error bound is this small. Calls between
+routers that have just started are slow and give a larger bound."""
+_FIRST_PAUSE_S = 0.1
+"""Pause before the second comparison; it doubles after each one. Routers that
+start together respond slowly, and more calls slow them down further."""
+_MAX_PAUSE_S = 0.5
+"""Longest pause while the clocks do not agree."""
+_MAX_REFINE_PAUSE_S = 64.0
+"""Longest pause between comparisons that refine the error bound."""
+_MAX_SAMPLE = 24
+"""Maximum number of routers queried: all of a small fleet, a sample of a large
+one, as calls from all to all grow with the square of its size."""
+_SAMPLE_QUORUM = 2 / 3
+"""Share of a sample that must agree. If three in ten of 78 clocks were stepped
+alike, a sample would hold that many of them five times in a million."""
+_STEP_CHECK_INTERVAL_S = 1.0
+"""Interval between checks whether the own clock was stepped."""
 
 
 class ClockCheck:
-  """Compares wall clocks with the other routers.
+  """Compares this host's wall clock with those of other routers.
 
   Args:
-    config: how many routers must agree; 0 compares nothing.
+    config: how many routers must agree; 0 disables the comparison.
     members: the routers that are up.
     post: makes calls to them.
     clock: this host's clocks.
@@ -65,90 +65,99 @@
     self._post = post
     self._clock = clock
     self._offset_s: float | None = None
-    """Wall clock less boot clock when it last agreed; a step changes it."""
-    self._error_s = _AGREE_S
-    """How far the clock was off most others then, at most."""
+    """Wall clock minus boot clock at the last agreement; a step changes it."""
+    self._error_s = _MAX_DIFFERENCE_S
+    """Upper bound of the difference from most other clocks at that time."""
     self._agreed = anyio.Event()
 
   def with_error_bound(self, moment: clock_lib.Moment) -> clock_lib.Moment:
-    """Returns a moment of this process, marked if its clock agreed then."""
+    """Returns `moment` with the error bound of the wall clock, if it is known.
+
+    Args:
+      moment: read by this process. Without agreement, or after a step of the
+        clock, it is returned unchanged.
+    """
     if self._offset_s is None:
       return moment
     stepped_s = abs(moment.wall_s - moment.boot_s - self._offset_s)
-    if stepped_s > _AGREE_S:
+    if stepped_s > _MAX_DIFFERENCE_S:
       return moment
     return moment._replace(error_s=self._error_s + stepped_s)
 
   @property
   def agrees(self) -> bool:
-    """Whether the clock agrees now."""
+    """Whether the wall clock agrees with most others now."""
     return self.with_error_bound(self._clock.moment()).agreed
 
   async def wait(self, timeout_s: float) -> None:
-    """Waits until the clock has agreed once, or for `timeout_s`."""
+    """Waits for the first agreement, for at most `timeout_s`."""
     if self._config.clock_quorum and not self._agreed.is_set():
       with anyio.move_on_after(timeout_s):
         await self._agreed.wait()
 
   async def run(self) -> None:
-    """Compares until the clocks agree closely, and after each step again."""
+    """Compares until the error bound is small, and again after each step."""
     while self._config.clock_quorum:
-      await self._agree()
-      await self._look_closer()
+      await self._reach_agreement()
+      await self._refine()
     await anyio.sleep_forever()
 
-  async def _agree(self) -> None:
+  async def _reach_agreement(self) -> None:
     """Compares until the clocks agree."""
-    pause_s = _PAUSE_S
+    pause_s = _FIRST_PAUSE_S
     while not self.agrees:
       await self._compare()
       await anyio.sleep(pause_s)
-      pause_s = min(2 * pause_s, _MOST_PAUSE_S)
+      pause_s = min(2 * pause_s, _MAX_PAUSE_S)
 
-  async def _look_closer(self) -> None:
-    """Compares ever more seldom for as long as the clocks agree."""
-    pause_s = due_s = _WATCH_S
+  async def _refine(self) -> None:
+    """Compares at growing intervals for as long as the clocks agree."""
+    pause_s = due_s = _STEP_CHECK_INTERVAL_S
     while self.agrees:
-      await anyio.sleep(_WATCH_S)
-      due_s -= _WATCH_S
-      if due_s <= 0 and self._error_s > _CLOSE_S and self.agrees:
+      await anyio.sleep(_STEP_CHECK_INTERVAL_S)
+      due_s -= _STEP_CHECK_INTERVAL_S
+      if due_s <= 0 and self._error_s > _TARGET_ERROR_S and self.agrees:
         await self._compare()
-        pause_s = due_s = min(2 * pause_s, _MOST_CLOSER_S)
+        pause_s = due_s = min(2 * pause_s, _MAX_REFINE_PAUSE_S)
 
   def _sample(self) -> list[members_lib.Member]:
-    """Returns the routers to ask, the same ones each time.
+    """Returns the routers to query, the same ones each time.
 
-    Drawn anew for each look, a sample that happens to agree with a stepped
-    clock would come up sooner or later.
+    If each comparison drew a new sample, one that agrees with a stepped clock
+    would come up sooner or later.
     """
     life = self._members.me.life
     return heapq.nsmallest(
-        _MOST_ASKED,
+        _MAX_SAMPLE,
         self._members.others,
         key=lambda other: members_lib.rank(f"{life} {other.name}"),
     )
 
-  def _needed(self, asked: int) -> int:
-    """Returns how many of those asked must agree."""
-    if asked == _MOST_ASKED:
-      return round(_SAMPLE_SHARE * asked)
-    # This router's own clock counts among the most that must agree.
+  def _quorum(self, asked: int) -> int:
+    """Returns how many of the `asked` routers must agree."""
+    if asked == _MAX_SAMPLE:
+      return round(_SAMPLE_QUORUM * asked)
+    # This router's own clock counts towards the majority.
     return max(self._config.clock_quorum, (asked + 1) // 2 + 1) - 1
 
   async def _compare(self) -> None:
-    found: list[float | None] = []
+    differences_s: list[float | None] = []
 
-    async def _ask(member: members_lib.Member) -> None:
-      found.append(await self._most_off_s(member))
+    async def _query(member: members_lib.Member) -> None:
+      differences_s.append(await self._max_difference_s(member))
 
     async with anyio.create_task_group() as tg:
       for member in self._sample():
-        tg.start_soon(_ask, member)
-    near = sorted(off for off in found if off is not None and off <= _AGREE_S)
-    needed = self._needed(len(found))
-    if len(near) < needed:
+        tg.start_soon(_query, member)
+    agreeing_s = sorted(
+        each_s
+        for each_s in differences_s
+        if each_s is not None and each_s <= _MAX_DIFFERENCE_S
+    )
+    quorum = self._quorum(len(differences_s))
+    if len(agreeing_s) < quorum:
       return
-    error_s = near[needed - 1] if needed else 0.0
+    error_s = agreeing_s[quorum - 1] if quorum else 0.0
     if self.agrees and error_s >= self._error_s:
       return
     moment = self._clock.moment()
@@ -158,23 +167,23 @@
     logger.info(
         "wall clock agrees",
         extra={
-            "agreeing": 1 + len(near),
-            "asked": len(found),
+            "agreeing": 1 + len(agreeing_s),
+            "asked": len(differences_s),
             "error_s": round(error_s, 4),
         },
     )
 
-  async def _most_off_s(self, member: members_lib.Member) -> float | None:
-    """Returns how far another router's clock is off, None: no answer.
+  async def _max_difference_s(self, member: members_lib.Member) -> float | None:
+    """Returns an upper bound of another clock's difference, None: no answer.
 
-    Its clock was read some time between the call and the answer.
+    The other clock was read at some time between the call and the answer.
     """
-    timeout_s = _AGREE_S  # an older answer would say too little
+    timeout_s = _MAX_DIFFERENCE_S  # a slower answer cannot prove agreement
     asked_s = self._clock.moment().wall_s
     try:
       answer = await self._post(member.url + PATH, {}, timeout_s)
     except errors.PeerUnavailableError as exc:
-      logger.debug("clock not compared: %s", exc)
+      logger.debug("clock of another router not compared: %s", exc)
       return None
     answered_s = self._clock.moment().wall_s
     try:
@@ -188,6 +197,6 @@
     return max(abs(read_s - asked_s), abs(read_s - answered_s))
 
   async def serve(self, body: dict) -> dict:
-    """Tells another router this host's wall clock."""
+    """Answers another router with this host's wall clock."""
     del body
     return {"wall_s": self._clock.moment().wall_s}
--- a/mustardfall/membership/deltas.py
+++ b/mustardfall/membership/deltas.py
@@ -1,7 +1,8 @@
-"""What changed between two versions of a document, small enough to be told.
+"""Deltas between two versions of a document, small enough for a datagram.
 
-A document is a JSON object. Of a field that is a list of rows with distinct
-names only the rows that differ are told; any other field is told whole.
+A document is a JSON object. If a field is a list of rows with distinct names,
+the delta holds only the rows that differ; any other changed field is included
+whole.
 """
 
 import hashlib
@@ -16,47 +17,47 @@
 
 
 class Rows(TypedDict):
-  """The changes of a list of named rows."""
+  """The changes to a list of named rows."""
 
   put: list[dict[str, Any]]
-  """Rows that are new or differ, whole."""
+  """Rows that were added or changed, whole."""
   cut: list[str]
-  """Names of rows that are gone."""
+  """Names of rows that were removed."""
 
 
 class Delta(TypedDict):
-  """The changes of a document."""
+  """The changes to a document."""
 
   fields: Document
-  """Fields that are told whole."""
+  """Fields that are replaced whole."""
   gone: list[str]
-  """Names of fields that are gone."""
+  """Names of fields that were removed."""
   rows: dict[str, Rows]
-  """Changes of lists of named rows, by field."""
+  """Changes to lists of named rows, by field."""
 
 
 def digest(document: Document) -> str:
-  """Returns what stands for a document's content.
+  """Returns a digest of a document's content.
 
-  The order of named rows says nothing: they are found by what is in them.
+  The order of named rows does not affect it, as rows are looked up by name.
   """
   return Digester().digest(document)
 
 
 class Digester:
-  """Digests successive versions of a document.
+  """Computes the digests of successive versions of a document.
 
-  Rows that the version shares with the one before are not encoded again. Rows
-  that are only equal are: 1 equals 1.0, and their texts differ, which other
-  routers digest.
+  Row objects shared with the previous version are not encoded again. Rows that
+  are merely equal are: 1 equals 1.0 in Python, but they encode to different
+  texts, and the digest must match those of other routers.
   """
 
   def __init__(self) -> None:
     self._rows: dict[str, dict[str, _Encoded]] = {}
-    """The rows of the last version, by field and name."""
+    """The encoded rows of the previous version, by field and name."""
 
   def digest(self, document: Document) -> str:
-    """Returns what `digest` does."""
+    """Returns the same as the function `digest`."""
     fields = []
     for field in sorted(document):
       rows = _by_name(document[field])
@@ -68,19 +69,21 @@
     ).hexdigest()
 
   def _encode(self, field: str, rows: dict[str, dict[str, Any]]) -> str:
-    """Returns rows as the JSON object of their names that they stand for."""
-    known = self._rows.get(field, {})
-    self._rows[field] = now = {}
+    """Returns rows encoded as a JSON object with their names as keys."""
+    previous = self._rows.get(field, {})
+    self._rows[field] = encoded_rows = {}
     for name in sorted(rows):
-      row, before = rows[name], known.get(name)
+      row, before = rows[name], previous.get(name)
       if before is None or before.row is not row:
         before = _Encoded(row, f"{_encode(name)}:{_encode(row)}")
-      now[name] = before
-    return "{" + ",".join(encoded.text for encoded in now.values()) + "}"
+      encoded_rows[name] = before
+    return (
+        "{" + ",".join(encoded.text for encoded in encoded_rows.values()) + "}"
+    )
 
 
 class _Encoded(NamedTuple):
-  """A row and its text."""
+  """A row and its JSON text."""
 
   row: dict[str, Any]
   text: str
@@ -91,55 +94,55 @@
 
 
 def pack(value: Any) -> bytes:
-  """Returns a JSON value in as few bytes as it can be told."""
+  """Returns a JSON value as compressed text."""
   return zlib.compress(json.dumps(value, separators=(",", ":")).encode())
 
 
-def unpack(raw: bytes, most: int) -> Any:
-  """Returns what was packed.
+def unpack(compressed: bytes, max_bytes: int) -> Any:
+  """Returns a value encoded by `pack`.
 
   Args:
-    raw: see `pack`.
-    most: bytes that it may unpack to.
+    compressed: the compressed text.
+    max_bytes: maximum size of the decompressed text, bytes.
 
   Raises:
-    ValueError: it is none, or unpacks to too much.
+    ValueError: `compressed` is malformed, or its text exceeds `max_bytes`.
   """
   unpacker = zlib.decompressobj()
   try:
-    content = unpacker.decompress(raw, most)
+    content = unpacker.decompress(compressed, max_bytes)
   except zlib.error as exc:
     raise ValueError(str(exc)) from exc
   if not unpacker.eof:
-    raise ValueError("cut short, or too long")
+    raise ValueError(f"truncated, or more than {max_bytes} bytes decompressed")
   return json.loads(content)
 
 
 def diff(before: Document, after: Document) -> Delta:
-  """Returns what turns `before` into `after`, see `apply`."""
-  found = Delta(fields={}, gone=sorted(before.keys() - after.keys()), rows={})
+  """Returns the delta that turns `before` into `after`, see `apply`."""
+  delta = Delta(fields={}, gone=sorted(before.keys() - after.keys()), rows={})
   for field, value in after.items():
     if field in before and before[field] == value:
       continue
     old, new = _by_name(before.get(field)), _by_name(value)
     if old is None or new is None:
-      found["fields"][field] = value
+      delta["fields"][field] = value
     else:
-      found["rows"][field] = Rows(
+      delta["rows"][field] = Rows(
           put=[row for name, row in new.items() if old.get(name) != row],
           cut=[name for name in old if name not in new],
       )
-  return found
+  return delta
 
 
 def apply(before: Document, delta: Delta) -> Document:
-  """Returns the later version.
+  """Returns the version after `delta`.
 
-  Applied to another version than it was made for, it changes what it can: the
-  digest tells whether the result is the later version.
+  A delta may also be applied to a version other than the one it was computed
+  from. The result may then be wrong; compare its digest with the expected one.
 
   Raises:
-    KeyError, TypeError: the delta is none, or of another document.
+    KeyError, TypeError: the delta is malformed or that of another document.
   """
   after = before | delta["fields"]
   for field in delta["gone"]:
@@ -147,7 +150,7 @@
   for field, changes in delta["rows"].items():
     rows = _by_name(before[field])
     if rows is None:
-      raise TypeError(f"{field} has no named rows")
+      raise TypeError(f"field {field!r} is not a list of named rows")
     rows |= {row["name"]: row for row in changes["put"]}
     for name in changes["cut"]:
       rows.pop(name, None)
@@ -156,7 +159,7 @@
 
 
 def _by_name(value: Any) -> dict[str, dict[str, Any]] | None:
-  """Returns a list's rows by their names; None where it has no such rows."""
+  """Returns a list's rows by name; None if it is no list of named rows."""
   if not isinstance(value, list):
     return None
   rows: dict[str, dict[str, Any]] = {}
--- a/mustardfall/membership/ring.py
+++ b/mustardfall/membership/ring.py
@@ -1,8 +1,9 @@
-"""A consistent-hash ring over routers that is cheap to change.
+"""A consistent-hash ring of routers that is cheap to change.
 
-The points of a ring as ketama lays them out: 160 a router, from the MD5 of its
-name. A router that comes has its points merged in; as a fleet starts, members
-register one by one, and a ring laid anew each time takes seconds of each.
+Its points are those of ketama: 160 for each router, from the MD5 of its name.
+The points of an added router are merged in. When a fleet starts, its members
+register one by one, and rebuilding the ring each time would cost every router
+seconds of processor time.
 """
 
 import bisect
@@ -10,47 +11,47 @@
 import hashlib
 import struct
 
-_KNOTS = 40
-"""Digests taken for each router, each with four points."""
-_POINTS = struct.Struct("<4I")
+_DIGESTS_PER_ROUTER = 40
+"""Number of digests for each router; each gives four points."""
+_DIGEST_POINTS = struct.Struct("<4I")
 
 
 class Ring:
-  """Routers by name, in the order in which they come up for a key."""
+  """Maps a key to routers, in the order of their points on the ring."""
 
   def __init__(self) -> None:
     self._points: dict[str, list[int]] = {}
-    """Each router's points, in order."""
+    """Each router's points, sorted."""
     self._names: dict[int, str] = {}
-    """The router at each point; where several meet, the first by name."""
-    self._met: dict[int, list[str]] = {}
-    """All routers of points where several meet, by name."""
-    self._sorted: list[int] = []
+    """The router at each point; if several collide, the first by name."""
+    self._collisions: dict[int, list[str]] = {}
+    """The routers, sorted by name, of each point that several have."""
+    self._sorted_points: list[int] = []
 
   def set(self, names: Iterable[str]) -> None:
-    """Has the ring hold just these routers."""
+    """Adds and removes routers, so that the ring holds exactly `names`."""
     wanted = set(names)
-    gone = self._points.keys() - wanted
-    if gone:
-      self._remove(gone)
-    come = wanted - self._points.keys()
-    if come:
-      self._add(come)
+    removed = self._points.keys() - wanted
+    if removed:
+      self._remove(removed)
+    added = wanted - self._points.keys()
+    if added:
+      self._add(added)
 
   def _remove(self, names: Iterable[str]) -> None:
-    empty = []
+    freed = []
     for name in names:
       for point in self._points.pop(name):
-        met = self._met.get(point)
-        if met is None:
+        colliding = self._collisions.get(point)
+        if colliding is None:
           del self._names[point]
-          empty.append(point)
+          freed.append(point)
           continue
-        met.remove(name)
-        self._names[point] = met[0]
-        if len(met) == 1:
-          del self._met[point]
-    self._sorted = _without(self._sorted, sorted(empty))
+        colliding.remove(name)
+        self._names[point] = colliding[0]
+        if len(colliding) == 1:
+          del self._collisions[point]
+    self._sorted_points = _without(self._sorted_points, sorted(freed))
 
   def _add(self, names: Iterable[str]) -> None:
     new = []
@@ -61,38 +62,41 @@
         if other is name:
           new.append(point)
           continue
-        met = self._met.setdefault(point, [other])
-        bisect.insort(met, name)
-        self._names[point] = met[0]
-    # The points before are in order, so that sorting merges the new ones in.
-    self._sorted = sorted(self._sorted + sorted(new))
+        colliding = self._collisions.setdefault(point, [other])
+        bisect.insort(colliding, name)
+        self._names[point] = colliding[0]
+    # Both parts are sorted, so that the sort only has to merge them.
+    self._sorted_points = sorted(self._sorted_points + sorted(new))
 
   def find(self, key: str, count: int) -> list[str]:
-    """Returns the next `count` routers on the ring from a key, or all."""
-    found: dict[str, None] = {}
-    for name in self._from(key):
-      found[name] = None
-      if len(found) == count:
+    """Returns the first `count` distinct routers on the ring after a key.
+
+    Returns all routers if there are no more than `count`.
+    """
+    names: dict[str, None] = {}
+    for name in self._names_after(key):
+      names[name] = None
+      if len(names) == count:
         break
-    return list(found)
+    return list(names)
 
-  def _from(self, key: str) -> Iterator[str]:
-    """Yields the names at the ring's points, beginning at a key."""
-    ring = self._sorted
-    begin = bisect.bisect_right(ring, _hash(key))
-    for number in range(len(ring)):
-      yield self._names[ring[(begin + number) % len(ring)]]
+  def _names_after(self, key: str) -> Iterator[str]:
+    """Yields the router at each point, starting after the hash of a key."""
+    ring = self._sorted_points
+    start = bisect.bisect_right(ring, _hash(key))
+    for offset in range(len(ring)):
+      yield self._names[ring[(start + offset) % len(ring)]]
 
 
-def _without(points: list[int], gone: list[int]) -> list[int]:
-  """Returns points without some of them, both in order."""
+def _without(points: list[int], removed: list[int]) -> list[int]:
+  """Returns `points` without those in `removed`; both are sorted."""
   kept: list[int] = []
-  begin = 0
-  for point in gone:
-    end = bisect.bisect_left(points, point, begin)
-    kept += points[begin:end]
-    begin = end + 1
-  return kept + points[begin:]
+  start = 0
+  for point in removed:
+    end = bisect.bisect_left(points, point, start)
+    kept += points[start:end]
+    start = end + 1
+  return kept + points[start:]
 
 
 def _digest(text: str) -> bytes:
@@ -100,13 +104,13 @@
 
 
 def _hash(key: str) -> int:
-  return _POINTS.unpack(_digest(key))[0]
+  return _DIGEST_POINTS.unpack(_digest(key))[0]
 
 
 def _points(name: str) -> list[int]:
-  """Returns a router's points on the ring, in order."""
+  """Returns a router's points on the ring, sorted."""
   return sorted(
       point
-      for knot in range(_KNOTS)
-      for point in _POINTS.unpack(_digest(f"{name}-{knot}"))
+      for index in range(_DIGESTS_PER_ROUTER)
+      for point in _DIGEST_POINTS.unpack(_digest(f"{name}-{index}"))
   )
--- a/tests/test_clockcheck.py
+++ b/tests/test_clockcheck.py
@@ -1,9 +1,10 @@
-"""Wall clocks are believed only where most routers' clocks agree.
+"""A wall clock is trusted only if it agrees with those of most routers.
 
-What the caller sees: after all routers lost power, requests that the budget
-covers are served again. A router whose clock was stepped back would count
-too little time for its dead predecessor and give back tokens that were
-used; one that trusts no clock would give back next to nothing.
+After a loss of power, a router returns the tokens that its previous life
+cannot have used in the time until then. A router whose clock was stepped back
+would compute too short a time and return tokens that were used. One that
+trusts no clock would return almost none, and requests that the budget covers
+would be refused.
 """
 
 import anyio
@@ -20,7 +21,7 @@
 
 
 class _Clock:
-  """A host's clocks, the wall clock stepped by `step_s`."""
+  """The clocks of a host whose wall clock was stepped by `step_s`."""
 
   def __init__(self, step_s: float = 0.0) -> None:
     self.step_s = step_s
@@ -36,7 +37,13 @@
 class ClockCheckTest(testtools.TestCase):
 
   def _check(self, own_step_s, other_steps_s, config=_CONFIG):
-    """Returns a check that has asked once; None: that router is silent."""
+    """Returns a check after its first comparisons.
+
+    Args:
+      own_step_s: the step of this host's clock.
+      other_steps_s: the steps of the others'; None if a router does not answer.
+      config: the settings of the check.
+    """
 
     async def _post(url, body, timeout_s):
       step_s = other_steps_s[int(url.removeprefix("http://r")[0]) - 1]
@@ -60,21 +67,21 @@
     anyio.run(_run)
     return check
 
-  def test_clock_that_agrees_with_most_is_vouched_for(self):
+  def test_clock_that_agrees_with_most_has_an_error_bound(self):
     check = self._check(0.0, [0.0, 0.01, -2.4, 0.0])
     self.assertTrue(check.agrees)
     self.assertTrue(check.with_error_bound(self.clock.moment()).agreed)
 
-  def test_stepped_clock_is_not(self):
+  def test_stepped_clock_does_not_agree(self):
     self.assertFalse(self._check(-2.4, [0.0, 0.0, 0.0, 0.0]).agrees)
 
-  def test_few_that_were_stepped_alike_do_not_vouch_for_each_other(self):
+  def test_minority_stepped_alike_does_not_agree(self):
     check = self._check(-2.4, [-2.4, -2.4, 0.0, 0.0, 0.0, 0.0])
     self.assertFalse(check.agrees)
 
-  def test_in_a_large_fleet_few_stepped_alike_do_not_vouch_for_each_other(self):
-    # Three in ten of 78 hosts are stepped alike. Each asks a sample only: a
-    # stepped one must not find enough others in it, whichever it is.
+  def test_minority_stepped_alike_in_a_large_fleet_does_not_agree(self):
+    # Three in ten of 78 hosts are stepped alike. As only a sample is queried,
+    # no sample may hold enough stepped clocks to agree with a stepped one.
     steps = [-2.4 if i % 10 < 3 else 0.0 for i in range(1, 78)]
     self.assertFalse(self._check(-2.4, steps).agrees)
     self.assertTrue(self._check(0.0, [0.0] * 77).agrees)
@@ -82,11 +89,11 @@
   def test_too_few_answers_prove_nothing(self):
     self.assertFalse(self._check(0.0, [0.0, None, None, None]).agrees)
 
-  def test_nothing_is_compared_unless_asked_for(self):
+  def test_nothing_is_compared_unless_configured(self):
     check = self._check(0.0, [0.0, 0.0, 0.0], settings.Membership())
     self.assertFalse(check.agrees)
 
-  def test_moment_before_a_step_stays_vouched_for_and_after_it_is_not(self):
+  def test_step_invalidates_later_moments_only(self):
     check = self._check(0.0, [0.0, 0.0, 0.0])
     before = self.clock.moment()
     self.clock.step_s = 2.4
--- a/tests/test_deltas.py
+++ b/tests/test_deltas.py
@@ -1,4 +1,4 @@
-"""Documents that are told by what has changed."""
+"""Deltas and digests of documents."""
 
 import json
 
@@ -22,28 +22,28 @@
 class DeltaTest(testtools.TestCase):
 
   @given(_DOCUMENTS, _DOCUMENTS)
-  def test_a_change_applied_gives_the_later_version(self, before, after):
+  def test_delta_applied_gives_the_later_version(self, before, after):
     change = json.loads(json.dumps(deltas.diff(before, after)))
-    found = deltas.apply(before, change)
-    self.assertEqual(deltas.digest(after), deltas.digest(found))
+    result = deltas.apply(before, change)
+    self.assertEqual(deltas.digest(after), deltas.digest(result))
 
   @given(_DOCUMENTS, _DOCUMENTS)
-  def test_documents_that_differ_have_other_digests(self, one, other):
-    def known(document):
+  def test_different_documents_have_different_digests(self, one, other):
+    def normalized(document):
       return {
           field: sorted(map(str, value)) if isinstance(value, list) else value
           for field, value in document.items()
       }
 
-    if known(one) != known(other):
+    if normalized(one) != normalized(other):
       self.assertNotEqual(deltas.digest(one), deltas.digest(other))
 
   @given(_DOCUMENTS, _DOCUMENTS, _DOCUMENTS)
-  def test_a_change_of_another_version_is_noticed(self, one, two, three):
-    """Guards against a copy that is taken for the current one and is not."""
+  def test_delta_of_another_version_is_detected(self, one, two, three):
+    """Guards against an outdated copy that is taken for the current version."""
     try:
-      found = deltas.apply(three, deltas.diff(one, two))
+      result = deltas.apply(three, deltas.diff(one, two))
     except (KeyError, TypeError):
       return
-    if deltas.digest(found) == deltas.digest(two):
-      self.assertEqual(set(two), set(found))
+    if deltas.digest(result) == deltas.digest(two):
+      self.assertEqual(set(two), set(result))
--- a/tests/test_ring.py
+++ b/tests/test_ring.py
@@ -1,7 +1,7 @@
-"""Owners of budgets stay where they are when a fleet takes a new version.
+"""A fleet keeps the owners of its budgets during an upgrade.
 
-The ring lays its points as the one before did. Were the owners others, each
-router would take grants of budgets that another holds, all at once.
+The points of the ring must therefore stay those of ketama. With other owners,
+all routers at once would take grants of budgets that others hold.
 """
 
 from hypothesis import given
@@ -26,18 +26,18 @@
 class RingTest(testtools.TestCase):
 
   def test_points_are_ketamas(self):
-    # Worked out with another implementation of ketama.
-    found = ring.Ring()
-    found.set(f'front-{i}' for i in range(9))
-    self.assertEqual(_KETAMA, [found.find(f'b{k}', 3) for k in range(6)])
+    # The expected values come from another implementation of ketama.
+    routers = ring.Ring()
+    routers.set(f'front-{i}' for i in range(9))
+    self.assertEqual(_KETAMA, [routers.find(f'b{k}', 3) for k in range(6)])
 
   @given(_NAMES, _NAMES)
-  def test_a_changed_ring_is_the_one_laid_anew(self, before, after):
+  def test_changed_ring_equals_a_new_one(self, before, after):
     changed = ring.Ring()
     changed.set(before)
     changed.set(after)
-    anew = ring.Ring()
-    anew.set(after)
+    rebuilt = ring.Ring()
+    rebuilt.set(after)
     for key in ('acme', 'b1', 'b2'):
-      self.assertEqual(anew.find(key, 3), changed.find(key, 3))
+      self.assertEqual(rebuilt.find(key, 3), changed.find(key, 3))
       self.assertEqual(min(3, len(after)), len(changed.find(key, 3)))
