--- a/mustardfall/membership/datagrams.py
+++ b/mustardfall/membership/datagrams.py
@@ -1,7 +1,7 @@
-"""Datagrams between routers, for what is worth something for a moment only.
+"""UDP datagrams between routers, for information that is soon outdated.
 
-One that is lost is made good by the next, and nothing waits for an answer for
-more than some ms.
+A lost datagram is superseded by the next one, and nothing waits for an answer
+for more than some ms.
 """
 
 import collections
@@ -26,13 +26,14 @@
     TypeError,
     ValueError,
 )
-"""What decoding a datagram that makes no sense may raise."""
-_MOST_POSTED = 1_000
-"""Datagrams that wait to be sent; the oldest of more are worth nothing."""
+"""Exceptions that decoding a malformed datagram may raise."""
+_MAX_QUEUED = 1_000
+"""Capacity of the send queue; when it is full, the oldest datagrams, outdated
+by then, are dropped."""
 
 
 class Kind(enum.Enum):
-  """What a datagram holds; its first byte."""
+  """The kind of a datagram; the value is its first byte."""
 
   LOADS = b"l"
   NOTICE = b"n"
@@ -43,14 +44,14 @@
   VERDICT = b"v"
 
 
-Take = Callable[[bytes], None]
-"""Takes a datagram's content in; raises as decoders do if it makes no sense."""
-TakeFrom = Callable[[bytes, str], None]
-"""The same with the sender's address."""
+Handler = Callable[[bytes], None]
+"""Handles a datagram's payload; raises one of `_MALFORMED` if it is invalid."""
+SenderHandler = Callable[[bytes, str], None]
+"""A handler that also takes the sender's address."""
 
 
-class _Posted(NamedTuple):
-  """A datagram that waits to be sent."""
+class _Outgoing(NamedTuple):
+  """A datagram to be sent."""
 
   kind: Kind
   content: bytes
@@ -62,8 +63,8 @@
 
   Args:
     host: this router's address.
-    port: 0: nothing is told and nothing heard.
-    overhead: told of each datagram.
+    port: the UDP port; 0 disables datagrams.
+    overhead: counts each datagram.
   """
 
   def __init__(
@@ -72,64 +73,67 @@
     self._host = host
     self._port = port
     self._overhead = overhead
-    self._handlers: dict[bytes, TakeFrom] = {}
+    self._handlers: dict[bytes, SenderHandler] = {}
     self._udp: abc.UDPSocket | None = None
-    self._sending = anyio.Lock()
-    """A socket refuses a second task that sends while one does."""
-    self._posted: collections.deque[_Posted] = collections.deque(
-        maxlen=_MOST_POSTED
+    self._send_lock = anyio.Lock()
+    """Held while sending; anyio raises if two tasks send at the same time."""
+    self._queue: collections.deque[_Outgoing] = collections.deque(
+        maxlen=_MAX_QUEUED
     )
-    self._post_came = anyio.Event()
+    self._queued = anyio.Event()
 
   @property
   def is_open(self) -> bool:
-    """Whether others can be told anything."""
+    """Whether the socket is open."""
     return self._udp is not None
 
-  def connect(self, kind: Kind, take: Take) -> None:
-    """Has `take` called with each datagram of a kind."""
-    self.connect_with_sender(kind, lambda content, sender: take(content))
+  def connect(self, kind: Kind, handler: Handler) -> None:
+    """Registers the handler of a kind of datagram."""
+    self.connect_with_sender(kind, lambda content, sender: handler(content))
 
-  def connect_with_sender(self, kind: Kind, take: TakeFrom) -> None:
-    """The same for one who answers."""
-    self._handlers[kind.value] = take
+  def connect_with_sender(self, kind: Kind, handler: SenderHandler) -> None:
+    """Registers a handler that needs the sender's address to answer it."""
+    self._handlers[kind.value] = handler
 
   async def send(
-      self, kind: Kind, content: bytes, told: Iterable[members_lib.Member]
+      self, kind: Kind, content: bytes, receivers: Iterable[members_lib.Member]
   ) -> None:
-    """Sends `content` to some routers, as far as they can be reached."""
-    for member in told:
+    """Sends `content` to each of `receivers`; failures are ignored."""
+    for member in receivers:
       host = _host_of(member)
       if host:
-        await self._send(_Posted(kind, content, host))
+        await self._send(_Outgoing(kind, content, host))
 
   def enqueue(
       self, kind: Kind, content: bytes, member: members_lib.Member
   ) -> None:
-    """Sends `content` to a router soon, without waiting for it."""
+    """Queues `content` to be sent to a router; does not wait."""
     host = _host_of(member)
     if host:
       self.enqueue_to(kind, content, host)
 
   def enqueue_to(self, kind: Kind, content: bytes, host: str) -> None:
-    """Sends `content` to an address soon."""
-    self._posted.append(_Posted(kind, content, host))
-    self._post_came.set()
+    """Queues `content` to be sent to an address."""
+    self._queue.append(_Outgoing(kind, content, host))
+    self._queued.set()
 
-  async def _send(self, posted: _Posted) -> None:
+  async def _send(self, outgoing: _Outgoing) -> None:
     udp = self._udp
     if udp is None:
       return
-    raw = posted.kind.value + posted.content
-    self._overhead.record(f"{posted.kind.name.lower()} told", len(raw))
+    raw = outgoing.kind.value + outgoing.content
+    self._overhead.record(f"{outgoing.kind.name.lower()} told", len(raw))
     try:
-      async with self._sending:
-        await udp.sendto(raw, posted.host, self._port)
+      async with self._send_lock:
+        await udp.sendto(raw, outgoing.host, self._port)
     except (OSError, anyio.BrokenResourceError) as exc:
-      logger.debug("datagram not sent to %s: %r", posted.host, exc)
+      logger.debug("datagram not sent to %s: %r", outgoing.host, exc)
 
   async def run(self) -> None:
-    """Receives until cancelled; opens the port anew when it breaks."""
+    """Sends and receives until cancelled or the socket closes.
+
+    `accounts.supervise` then runs it again, which reopens the port.
+    """
     if not self._port:
       await anyio.sleep_forever()
 
@@ -142,27 +146,27 @@
       self._udp = udp
       try:
         async with anyio.create_task_group() as tasks:
-          tasks.start_soon(self._send_posted)
+          tasks.start_soon(self._send_queue)
           async for raw, sender in udp:
             self._handle(raw, sender[0])
           tasks.cancel_scope.cancel()
       finally:
         self._udp = None
 
-  async def _send_posted(self) -> None:
+  async def _send_queue(self) -> None:
     while True:
-      await self._post_came.wait()
-      self._post_came = anyio.Event()
-      while self._posted:
-        await self._send(self._posted.popleft())
+      await self._queued.wait()
+      self._queued = anyio.Event()
+      while self._queue:
+        await self._send(self._queue.popleft())
 
   def _handle(self, raw: bytes, sender: str) -> None:
     self._overhead.record("datagram heard", len(raw))
-    take = self._handlers.get(raw[:1])
+    handler = self._handlers.get(raw[:1])
     try:
-      if take is None:
-        raise ValueError("unknown kind")
-      take(raw[1:], sender)
+      if handler is None:
+        raise ValueError(f"unknown kind {raw[:1]!r}")
+      handler(raw[1:], sender)
     except _MALFORMED as exc:
       logger.warning(
           "datagram malformed", extra={"sender": sender, "error": repr(exc)}
@@ -170,9 +174,9 @@
 
 
 def _host_of(member: members_lib.Member) -> str:
-  """Returns a router's address, empty where it has none that makes sense."""
+  """Returns the host part of a router's URL, empty if the URL is invalid."""
   try:
     return sockets.split_address(member.url.removeprefix("http://"))[0]
   except ValueError as exc:
-    logger.debug("no address of %s: %r", member.life, exc)
+    logger.debug("no address in the URL of %s: %r", member.life, exc)
     return ""
--- a/mustardfall/membership/loadshare.py
+++ b/mustardfall/membership/loadshare.py
@@ -1,6 +1,6 @@
-"""Tells other routers by datagram what this one has at the endpoints.
+"""Exchanges load reports (a router's requests at each endpoint) with others.
 
-Datagrams, since a report is worth something for some ms only.
+They are sent as datagrams, since a report is outdated after some ms.
 """
 
 import itertools
@@ -12,27 +12,29 @@
 from mustardfall.routing import loads as loads_lib
 from mustardfall.util import clock as clock_lib
 
-_PACE_S = 0.008
-"""Least time between two reports. Nine routers send some 75 streams a second;
-within this time few of them pick the same endpoint unknown to each other."""
-_QUIET_S = 0.5
-"""In a small fleet a report is sent at least this often, so that silence means
-death."""
-_TOLD_AT_ONCE = 8
-"""Routers of a larger fleet told by one report, all in turn."""
-_BYTES_PER_S = 1_500
-"""Told by a router of a larger fleet, at most, whatever its size: of the 7 KB
-a second that it may spend on control. There each endpoint is tracked by one
-router, and this is what is known when that one gives no answer."""
+_MIN_INTERVAL_S = 0.008
+"""Minimum time between two reports. Nine routers start some 75 streams a
+second; within this time few of them choose the same endpoint without knowing of
+each other."""
+_HEARTBEAT_S = 0.5
+"""Maximum time between two reports in a small fleet, so that a router that
+sends none can be taken for dead."""
+_FANOUT = 8
+"""Receivers of one report in a large fleet; the others follow in turn."""
+_MAX_BYTES_PER_S = 1_500
+"""Limit of reports sent by a router of a large fleet, whatever the fleet's
+size, out of the 7 KB a second that it may send for control. In a large fleet
+each endpoint has trackers; reports are the fallback when these do not
+answer."""
 
 
 class LoadShare:
-  """Sends and receives reports of loads.
+  """Sends and receives load reports.
 
   Args:
-    loads: makes the reports, and takes in others'.
-    members: who is up.
-    datagrams: carries the reports.
+    loads: makes the reports, and stores those of other routers.
+    members: the routers that are up.
+    datagrams: sends and receives the reports.
     clock: the time source.
   """
 
@@ -49,49 +51,52 @@
     self._clock = clock
     self._changed = anyio.Event()
     me = members_lib.rank(members.me.name)
-    self._turn = int.from_bytes(me)
-    """Where in the list of others the next report goes on. Not all begin at
-    the same one: it would hear from all, and the rest from nobody."""
-    datagrams.connect(datagrams_lib.Kind.LOADS, self._take)
+    self._next_receiver = int.from_bytes(me)
+    """Position of the next receiver in the list of others. It starts at a hash
+    of the name: if all routers started with the same receivers, these would get
+    all reports and the rest none."""
+    datagrams.connect(datagrams_lib.Kind.LOADS, self._handle_report)
 
   def mark_changed(self) -> None:
-    """Notes that what this router has at an endpoint has changed."""
+    """Records that this router's load at an endpoint has changed."""
     self._changed.set()
 
   def note_sent(self, endpoint: str, prefix: str) -> None:
-    """Notes that a prompt with `prefix` is being sent to an endpoint."""
+    """Records that a prompt with `prefix` is being sent to an endpoint."""
     self._loads.note_sent(endpoint, prefix, self._clock.monotonic())
     self._changed.set()
 
   async def run(self) -> None:
-    """Tells others until cancelled."""
+    """Sends reports until cancelled."""
     while True:
-      with anyio.move_on_after(_QUIET_S) as quiet:
+      with anyio.move_on_after(_HEARTBEAT_S) as timeout:
         await self._changed.wait()
-      if quiet.cancelled_caught and self._members.is_large:
-        continue  # the next report reaches others than the one before did
+      if timeout.cancelled_caught and self._members.is_large:
+        continue  # no heartbeat: each report has other receivers anyway
       self._changed = anyio.Event()
-      told_bytes = await self._tell()
-      await anyio.sleep(max(_PACE_S, told_bytes / _BYTES_PER_S))
+      sent_bytes = await self._send_report()
+      await anyio.sleep(max(_MIN_INTERVAL_S, sent_bytes / _MAX_BYTES_PER_S))
 
-  async def _tell(self) -> int:
-    """Tells others; returns the bytes that count for the bound."""
+  async def _send_report(self) -> int:
+    """Sends a report; returns the bytes that count towards the limit."""
     raw = loads_lib.encode(self._loads.report())
     others = self._members.others
     if not self._members.is_large:
       await self._datagrams.send(datagrams_lib.Kind.LOADS, raw, others)
       return 0
-    told = self._next(others)
-    await self._datagrams.send(datagrams_lib.Kind.LOADS, raw, told)
-    return len(raw) * len(told)
+    receivers = self._next_receivers(others)
+    await self._datagrams.send(datagrams_lib.Kind.LOADS, raw, receivers)
+    return len(raw) * len(receivers)
 
-  def _next(self, others: list[members_lib.Member]) -> list[members_lib.Member]:
-    """Returns the routers whose turn it is."""
-    begin = self._turn % len(others)
-    self._turn = begin + _TOLD_AT_ONCE
-    ordered = itertools.chain(others[begin:], others[:begin])
-    return list(itertools.islice(ordered, _TOLD_AT_ONCE))
+  def _next_receivers(
+      self, others: list[members_lib.Member]
+  ) -> list[members_lib.Member]:
+    """Returns the receivers of the next report, in round-robin order."""
+    start = self._next_receiver % len(others)
+    self._next_receiver = start + _FANOUT
+    ordered = itertools.chain(others[start:], others[:start])
+    return list(itertools.islice(ordered, _FANOUT))
 
-  def _take(self, raw: bytes) -> None:
+  def _handle_report(self, raw: bytes) -> None:
     report = loads_lib.decode(raw)
     self._loads.take(report, self._clock.monotonic())
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -1,12 +1,11 @@
-"""What a router spends on the others must not grow with the fleet.
-
-What callers saw: nothing. On 68 to 78 hosts the routers spent so much
-processor time on each other that a day could not be played to its end, and
-first tokens came late. Each registration had every router build its hash ring
-anew, each comparison of clocks called all others, and reports of loads went
-to the same 32 routers at each change. All of it grows with the square of the
-fleet. Bounds are those of the two-year size: 1 % of a core and 7 KB a second
-for control.
+"""A router's control traffic must not grow with the fleet.
+
+On 68 to 78 hosts the routers used so much processor time for control that a
+day could not be played to its end and first tokens were late. Each registration
+made every router rebuild its hash ring, each comparison of clocks called all
+others, and each change of load was reported to the same 32 routers. All of
+this grows with the square of the fleet. The limits are those for the size
+expected in two years: 1 % of a core and 7 KB a second for control.
 """
 
 import base64
@@ -38,13 +37,13 @@
 _ROUTERS = 78
 _LARGE = 195
 _REFUSED_S = 9.0
-"""For which the store turns hosts away; they come back for as long."""
+"""How long the store refuses hosts; they return over the same time."""
 _ENDPOINTS = 73
 _CONTROL_BYTES_PER_S = 7_000
 _CONTROL_SHARE = 0.01
-"""Of a core."""
+"""Limit of processor time for control, as a share of a core."""
 _START_S = 16.0
-"""From the hosts' start to the first request."""
+"""Time from the hosts' start to the first request."""
 _PORT = 7340
 
 
@@ -66,7 +65,7 @@
 
 
 class _Socket:
-  """A UDP socket that only counts what is sent, by receiver."""
+  """A UDP socket that only counts datagrams and bytes by receiver."""
 
   def __init__(self) -> None:
     self.sizes: collections.Counter[str] = collections.Counter()
@@ -90,7 +89,7 @@
 
 
 class _Router:
-  """The part of a router that tells others its loads."""
+  """The part of a router that sends load reports."""
 
   def __init__(self, number: int) -> None:
     self.table = endpoints.Table(settings.Scheduler())
@@ -119,7 +118,7 @@
     )
 
   async def serve(self, changes_per_s: float, seconds: float) -> None:
-    """Sends prompts to endpoints in turn, each at work for a second."""
+    """Reports prompts sent to the endpoints in turn, at a steady rate."""
     rows = list(self.table.rows.values())
     for row in rows[:5]:
       row.in_flight = 1
@@ -140,10 +139,10 @@
 
 class LoadReportsTest(testtools.TestCase):
 
-  def test_bytes_told_stay_within_the_bound_for_control(self):
+  def test_load_reports_stay_within_the_limit_for_control(self):
     router, seconds = _Router(0), 20.0
 
-    async def _day():
+    async def _run():
       async with anyio.create_task_group() as tg:
         tg.start_soon(router.datagrams.run)
         tg.start_soon(router.share.run)
@@ -151,18 +150,18 @@
         tg.cancel_scope.cancel()
 
     with _sockets(router):
-      virtual.run(_day)
-    told = sum(router.socket.sizes.values()) / seconds
-    self.assertTrue(0 < told <= _CONTROL_BYTES_PER_S, told)
-
-  def test_every_router_is_told(self):
-    # All took the first 32 of the same list: those heard from all others,
-    # and the rest placed prompts as if they were alone.
-    heard = collections.Counter()
+      virtual.run(_run)
+    sent = sum(router.socket.sizes.values()) / seconds
+    self.assertTrue(0 < sent <= _CONTROL_BYTES_PER_S, sent)
+
+  def test_every_router_receives_reports(self):
+    # All routers sent reports to the first 32 of the same list. These received
+    # all reports; the rest placed prompts without knowing of any others.
+    received = collections.Counter()
     for number in range(0, _ROUTERS, 6):
       router = _Router(number)
 
-      async def _day(router=router):
+      async def _run(router=router):
         async with anyio.create_task_group() as tg:
           tg.start_soon(router.datagrams.run)
           tg.start_soon(router.share.run)
@@ -170,14 +169,14 @@
           tg.cancel_scope.cancel()
 
       with _sockets(router):
-        virtual.run(_day)
-      heard += router.socket.counts
-    mean = sum(heard.values()) / _ROUTERS
-    self.assertEqual(_ROUTERS, len(heard))
-    self.assertTrue(max(heard.values()) <= 2 * mean, heard)
-
-  def test_a_report_is_taken_in_for_little(self):
-    # A router hears as much as it tells. At the bound for bytes that is 30
+        virtual.run(_run)
+      received += router.socket.counts
+    mean = sum(received.values()) / _ROUTERS
+    self.assertEqual(_ROUTERS, len(received))
+    self.assertTrue(max(received.values()) <= 2 * mean, received)
+
+  def test_handling_a_report_costs_little(self):
+    # A router receives as much as it sends. At the limit for bytes that is 30
     # reports a second, for which it has a hundredth of a core.
     router = _Router(0)
     rows = list(router.table.rows.values())
@@ -203,7 +202,7 @@
 
 class StartTest(testtools.TestCase):
 
-  def test_others_registering_one_by_one_cost_little(self):
+  def test_registrations_one_by_one_cost_little(self):
     view = members_lib.Members(
         None,
         _member(0),
@@ -219,8 +218,8 @@
     self.assertTrue(spent_s <= _CONTROL_SHARE * _START_S, spent_s)
 
   def test_a_third_that_leaves_and_comes_back_costs_little(self):
-    """Guards against a ring laid anew by all for each router that goes."""
-    # The store turns a third of the hosts away until their leases lapse.
+    """Guards against rebuilding the ring for each router that leaves."""
+    # The store refuses a third of the hosts until their leases expire.
     everyone = [_member(i) for i in range(_LARGE)]
     view = members_lib.Members(
         None,
@@ -238,10 +237,10 @@
     spent_s = time.process_time() - began
     self.assertTrue(spent_s <= 2 * _CONTROL_SHARE * _REFUSED_S, spent_s)
 
-  def test_clocks_are_compared_with_few_calls(self):
-    # Routers that have just started answer late, so the comparison is never
-    # as close as it should be. It was made again with all of them each
-    # second, which made them answer later still.
+  def test_comparing_clocks_takes_few_calls(self):
+    # Routers that have just started answer late, so the error bound stays too
+    # large. The comparison was repeated with all of them every second, which
+    # delayed their answers further.
     calls = []
     config = settings.Membership(clock_quorum=5)
 
@@ -253,18 +252,18 @@
     clock = virtual.Clock()
     check = clockcheck.ClockCheck(config, _members(0, config), _post, clock)
 
-    async def _day():
+    async def _run():
       with anyio.move_on_after(_START_S):
         await check.run()
       return check.agrees
 
-    self.assertTrue(virtual.run(_day))
-    # A call with its answer is 350 bytes with their heads.
-    told = len(calls) * 350 / _START_S
-    self.assertTrue(told <= _CONTROL_BYTES_PER_S / 2, told)
+    self.assertTrue(virtual.run(_run))
+    # A call and its answer take 350 bytes, including HTTP headers.
+    sent = len(calls) * 350 / _START_S
+    self.assertTrue(sent <= _CONTROL_BYTES_PER_S / 2, sent)
 
-  def test_others_registering_cost_few_calls_to_the_store(self):
-    # A watch of the members returned at each registration, on all routers:
+  def test_registrations_cost_few_calls_to_the_store(self):
+    # On every router, the watch of the members returned at each registration:
     # 78 x 78 calls within the second in which a fleet starts.
     store = _Registrations()
     clock = virtual.Clock()
@@ -276,22 +275,22 @@
         events.Bus(),
     )
 
-    async def _day():
+    async def _run():
       async with anyio.create_task_group() as tg:
         tg.start_soon(store.register_all, 2.0)
         with anyio.move_on_after(_START_S):
           await view.follow()
         tg.cancel_scope.cancel()
 
-    virtual.run(_day)
+    virtual.run(_run)
     self.assertEqual(_ROUTERS, len(view.lives))
-    # Of 6,000 calls a second that the store takes, a tenth for members.
+    # The store serves 6,000 calls a second; a tenth of them is for members.
     most = 600 * _START_S / _ROUTERS / 4
     self.assertTrue(store.calls <= most, store.calls)
 
 
 class _Registrations:
-  """A store, as its client calls it, in which the routers register in turn."""
+  """Answers a store client's calls while the routers register in turn."""
 
   def __init__(self) -> None:
     self.calls = 0
--- a/tests/test_overhead.py
+++ b/tests/test_overhead.py
@@ -1,4 +1,4 @@
-"""What a router spends beside its requests can be read from outside."""
+"""Metrics of a router's control traffic."""
 
 import testtools
 
@@ -10,15 +10,15 @@
 
   def test_totals_are_served_by_kind(self):
     instruments = metrics.Instruments("r")
-    spent = overhead.Overhead(instruments)
-    spent.record("load report sent", 200)
-    spent.record("load report sent", 100)
+    control = overhead.Overhead(instruments)
+    control.record("load report sent", 200)
+    control.record("load report sent", 100)
     text = instruments.render()
     self.assertIn('mustardfall_control_total{kind="load report sent"} 2', text)
     self.assertIn(
         'mustardfall_control_bytes_total{kind="load report sent"} 300', text
     )
 
-  def test_ids_of_a_call_do_not_make_kinds(self):
+  def test_ids_are_not_part_of_the_kind_of_a_call(self):
     self.assertEqual("/-/kv-keep", overhead.name_call("/-/kv-keep/712"))
     self.assertEqual("/-/kv-key", overhead.name_call("/-/kv-key?key=a/b/c"))
