--- a/mustardfall/membership/members.py
+++ b/mustardfall/membership/members.py
@@ -1,9 +1,9 @@
-"""The routers that are up, agreed through leases in the KV.
+"""Router membership, through leases in the KV.
 
-Each router keeps `member/<name>` under a lease that it renews, and
-watches the prefix. Nothing here carries safety: a router that is wrong
-about who is up asks the wrong owner for tokens, or writes a grant off
-that its holder settles later. Both cost efficiency, never an overspend.
+Each router keeps `member/<name>` under a lease that it renews, and watches
+the prefix. Correctness does not depend on the list: a router whose list is
+wrong asks the wrong owner for tokens, or writes off a grant that its holder
+settles later. Both cost efficiency, but never overspend a budget.
 """
 
 import collections
@@ -26,49 +26,50 @@
 logger = logging.getLogger(__name__)
 
 PREFIX = "member/"
-_OWNERS_CACHED = 100_000
-_RANKS_CACHED = 2_000
-"""More than the routers of the largest fleet."""
-_REPLACED_REMEMBERED = 4_000
-"""Earlier lives remembered: two days of restarts in the largest fleet."""
-_CANDIDATES = 3
+_OWNER_CACHE_SIZE = 100_000
+_RANK_CACHE_SIZE = 2_000
+"""More than the number of routers in the largest fleet."""
+_MAX_REPLACED_LIVES = 4_000
+"""Replaced lives remembered: two days of restarts in the largest fleet."""
+_CANDIDATE_COUNT = 3
 """Routers that are asked for tokens in turn: the owner, and two deputies that
-may be in touch with the KV while it is not."""
+may reach the KV while the owner does not."""
 MAX_SMALL_FLEET = 12
-"""Routers up to which each can afford to tell all others, and to draw on the KV
-itself; in a larger fleet few act for the others."""
-_LOGGED = 8
-"""Routers named in one log line."""
+"""Number of routers up to which each can send messages to all others and draw
+tokens from the KV itself; in a larger fleet a few act for the others."""
+_MAX_LOGGED_LIVES = 8
+"""Lives listed in one log line."""
 _RETRY_S = 0.5
 _SUSPECT_S = 2.0
-"""How long a router that did not answer is passed over."""
+"""How long a router that did not answer is asked only as a last resort."""
 
 
 class Member(NamedTuple):
-  """One life of a router, as it registers itself."""
+  """The registration of one life (one run of the process) of a router."""
 
   name: str
   epoch: str
+  """Distinguishes the lives of a router."""
   url: str
-  """Where other routers reach it."""
+  """The address for calls from other routers."""
   datacentre: str
   region: str
 
   @property
   def life(self) -> str:
-    """The id of this life; grant ids start with it."""
+    """The id of this life; the ids of its grants start with it."""
     return f"{self.name}:{self.epoch}"
 
 
 class Members:
-  """Registers this router and follows the others.
+  """Registers this router and keeps the list of all routers current.
 
   Args:
     kv: the KV client.
-    me: this router, as others shall see it.
-    config: lease term and grace.
+    me: the registration of this router.
+    config: lease term and grace period.
     clock: the time source.
-    bus: told of changes.
+    bus: receives `MEMBERS_CHANGED` events.
   """
 
   def __init__(
@@ -87,102 +88,104 @@
     self._by_name: dict[str, Member] = {me.name: me}
     self._lives: dict[str, Member] = {me.life: me}
     self._suspected: dict[str, float] = {}
-    """Routers that did not answer, and until when they are passed over."""
+    """Lives that did not answer, and until when they are suspected."""
     self._absent_since: dict[str, float] = {}
     self._replaced: collections.OrderedDict[str, None]
     self._replaced = collections.OrderedDict()
-    """Lives that were seen before a later life of the same router."""
+    """Lives that were followed by a later life of the same router, oldest
+    first."""
     self._connected_since: float | None = None
     self._lease = 0
-    self._near: list[str] = []
+    self._owner_names: list[str] = []
     self._ranked: list[str] = []
-    """Names of the region's routers in the order of `rank`."""
+    """Names of the region's routers in the order of the function `rank`."""
     self.rank = 0
-    """This router's place among those of its region, see `rank`."""
+    """This router's position in that order."""
     self._ring = ring.Ring()
-    self._ring_is_old = True
-    """Whether it does not hold the routers that may own budgets yet."""
-    self._find_owners = functools.lru_cache(_OWNERS_CACHED)(
-        lambda name: self._ring.find(name, _CANDIDATES)
+    self._ring_is_stale = True
+    """Whether the eligible owners have changed since the ring was updated."""
+    self._find_on_ring = functools.lru_cache(_OWNER_CACHE_SIZE)(
+        lambda name: self._ring.find(name, _CANDIDATE_COUNT)
     )
-    self._set_near()
+    self._update_ranks()
 
-  def _set_near(self) -> None:
-    """Notes which routers may own budgets."""
-    # By name, not by life: a router that starts again owns what it owned, and
-    # nobody's budgets change hands twice for it.
-    near = [
+  def _update_ranks(self) -> None:
+    """Computes the ranks of the region and the routers eligible as owners."""
+    # By name, not by life: a router that restarts owns the same budgets as
+    # before, and no budgets of other routers change their owner.
+    in_region = [
         m.name for m in self._by_name.values() if m.region == self.me.region
     ]
-    self._ranked = sorted(near, key=rank)
+    self._ranked = sorted(in_region, key=rank)
     self.rank = self._ranked.index(self.me.name)
-    # Few owners batch more: KV writes grow with owners, not with routers.
-    near = self._ranked[: self._config.owners or None]
-    if near == self._near:
-      return  # what was looked up still holds
-    self._near = near
-    self._ring_is_old = True
+    # Fewer owners write larger batches: KV writes grow with the number of
+    # owners, not with that of routers.
+    owner_names = self._ranked[: self._config.owners or None]
+    if owner_names == self._owner_names:
+      return  # the ring and the cached owners are still valid
+    self._owner_names = owner_names
+    self._ring_is_stale = True
 
   def _owners_of(self, name: str) -> list[str]:
     """Returns the owner of `name`, then its deputies.
 
-    The ring is laid only once it is needed: members come and go by the
-    dozen, and an owner is looked for a few times a second.
+    The ring is updated only when needed: dozens of members may join or leave
+    at once, while owners are looked up only a few times a second.
     """
-    if self._ring_is_old:
-      self._ring_is_old = False
-      self._ring.set(self._near)
-      self._find_owners.cache_clear()
-    return self._find_owners(name)
+    if self._ring_is_stale:
+      self._ring_is_stale = False
+      self._ring.set(self._owner_names)
+      self._find_on_ring.cache_clear()
+    return self._find_on_ring(name)
 
   @property
   def lives(self) -> dict[str, Member]:
-    """The lives that are up, as last heard."""
+    """All routers that are up, by life, as last known."""
     return self._lives
 
   @property
   def others(self) -> list[Member]:
-    """The other routers that are up, as last heard."""
+    """The other routers that are up, as last known."""
     return [m for m in self._lives.values() if m != self.me]
 
   @property
   def ranked(self) -> list[Member]:
-    """The region's routers in the order of `rank`."""
+    """The region's routers in the order of the function `rank`."""
     return [self._by_name[name] for name in self._ranked]
 
   @property
   def is_large(self) -> bool:
-    """Whether the fleet is too large for all to act with all."""
+    """Whether the fleet is too large for messages from all to all."""
     return len(self._lives) > MAX_SMALL_FLEET
 
   @property
   def regions(self) -> int:
-    """How many regions have routers up."""
+    """The number of regions with routers that are up."""
     return len({m.region for m in self._by_name.values()})
 
   def owner(self, name: str) -> Member:
     """Returns the router of this region that owns a budget or engine.
 
-    While it is suspected, its deputy stands in for it.
+    While the owner is suspected, that is its first deputy.
     """
     return self.candidates(name)[0]
 
   def candidates(self, name: str) -> list[Member]:
-    """Returns the owner and its deputies, those that are suspected last."""
-    found = [self._by_name[near] for near in self._owners_of(name)]
+    """Returns the owner and its deputies, suspected ones last."""
+    candidates = [self._by_name[owner] for owner in self._owners_of(name)]
     if self._suspected:
-      found.sort(key=lambda m: self.is_suspected(m.life))
-    return found
+      candidates.sort(key=lambda m: self.is_suspected(m.life))
+    return candidates
 
   def is_suspected(self, life: str) -> bool:
-    """Whether a router lately gave no answer."""
+    """Whether a router recently failed to answer."""
     return self._suspected.get(life, 0.0) > self._clock.monotonic()
 
   def suspect(self, life: str) -> None:
-    """Notes that a router did not answer.
+    """Marks a router that did not answer as suspected for some time.
 
-    Its lease lapses only after many seconds. Asking it all that time
-    would cost each request that draws on its budgets a timeout.
+    Its lease expires only after many seconds. If it were asked during all that
+    time, each request that draws on its budgets would wait for a timeout.
     """
     now = self._clock.monotonic()
     for other, until in list(self._suspected.items()):
@@ -191,27 +194,26 @@
     self._suspected[life] = now + _SUSPECT_S
 
   def has_gone(self, life: str) -> bool:
-    """Whether `life` has been absent for the whole grace time.
+    """Whether `life` is dead: replaced, or absent for the whole grace period.
 
-    A host runs one router: once a later life of the same router has
-    registered, the earlier one is dead, and nothing is left to wait for.
-    A life that was never seen may be the later one, just started, while
-    the list still shows the one before it.
+    A host runs one router, so a life is dead as soon as a later life of the
+    same router has registered. This holds only for lives that were once in the
+    list: an unknown life may be a new one that has not been listed yet.
     """
     if life in self._replaced and life not in self._lives:
       return True
     return self.absent_s(life) >= self._config.grace_s
 
   def successor(self, life: str) -> Member | None:
-    """Returns the other life of the same router that is up, if any."""
-    found = self._by_name.get(life.rpartition(":")[0])
-    return None if found is None or found.life == life else found
+    """Returns another life of the same router that is up, or None."""
+    current = self._by_name.get(life.rpartition(":")[0])
+    return None if current is None or current.life == life else current
 
   def absent_s(self, life: str) -> float:
-    """Returns for how long `life` has been absent, seconds; else -1.
+    """Returns for how many seconds `life` has been absent; -1 if it is not.
 
-    Only time in touch with the KV counts: a router that was cut off, or
-    paused, has heard of nobody and must not take everyone for gone.
+    Only time with a current list counts: a router that was disconnected from
+    the KV, or paused, must not take all others for gone.
     """
     now = self._clock.monotonic()
     if life in self._lives or self._connected_since is None:
@@ -225,8 +227,8 @@
     while True:
       try:
         if self._lease == 0 or await self._kv.keep_alive(self._lease) == 0:
-          # First time, or the lease lapsed while this router was paused
-          # or cut off: the others think it gone, so it says it is back.
+          # The first registration, or the lease expired while this router was
+          # paused or disconnected, and the others take it for gone.
           self._lease = await self._kv.grant_lease(self._config.ttl_s)
           value = json.dumps(self.me._asdict()).encode()
           await self._kv.put(PREFIX + self.me.name, value, self._lease)
@@ -237,15 +239,15 @@
       await anyio.sleep(self._config.ttl_s / 3)
 
   async def leave(self) -> None:
-    """Takes this router off the list, so that no one asks it for tokens."""
+    """Removes this router from the list, so that none asks it for tokens."""
     try:
       if self._lease:
         await self._kv.revoke_lease(self._lease)
     except (errors.KvUnavailableError, errors.KvUnknownError):
-      pass  # the lease lapses by itself
+      pass  # the lease expires anyway
 
   async def follow(self) -> None:
-    """Keeps the list of others until cancelled."""
+    """Keeps the list of routers current until cancelled."""
     while True:
       try:
         revision, records = await self._kv.get_prefix(PREFIX)
@@ -254,21 +256,21 @@
         async for event in self._kv.watch(
             PREFIX, revision + 1, self._config.watch_idle_s
         ):
-          self._take(event)
+          self._apply_event(event)
       except (errors.KvUnavailableError, errors.KvUnknownError) as exc:
         logger.debug("member watch broke: %s", exc)
-      # Out of touch: the list as last heard stays, nobody is gone.
+      # While disconnected, the last known list stays in use: none is gone.
       self.set_connected(False)
       await anyio.sleep(_RETRY_S)
 
-  def set_connected(self, is_in_touch: bool) -> None:
-    """Notes whether the list of others is kept current."""
-    if not is_in_touch:
+  def set_connected(self, is_connected: bool) -> None:
+    """Records whether the list of routers is being kept current."""
+    if not is_connected:
       self._connected_since = None
     elif self._connected_since is None:
       self._connected_since = self._clock.monotonic()
 
-  def _take(self, event: protocol.Event) -> None:
+  def _apply_event(self, event: protocol.Event) -> None:
     members = dict(self._by_name)
     if event.deleted:
       members.pop(event.record.key.removeprefix(PREFIX), None)
@@ -278,7 +280,7 @@
     self.update(list(members.values()))
 
   def update(self, members: list[Member]) -> None:
-    """Takes the whole list of others in."""
+    """Replaces the list of routers; emits an event if it has changed."""
     by_name = {m.name: m for m in members} | {self.me.name: self.me}
     if by_name == self._by_name:
       return
@@ -291,47 +293,47 @@
       self._suspected.pop(life, None)
       if life.rpartition(":")[0] in by_name:
         self._replaced[life] = None
-    while len(self._replaced) > _REPLACED_REMEMBERED:
+    while len(self._replaced) > _MAX_REPLACED_LIVES:
       self._replaced.popitem(last=False)
     for life in lives.keys() - self._lives.keys():
       self._absent_since.pop(life, None)
     self._by_name, self._lives = by_name, lives
-    self._set_near()
+    self._update_ranks()
     self._bus.emit(events.Name.MEMBERS_CHANGED, lives)
 
 
-@functools.lru_cache(_RANKS_CACHED)
+@functools.lru_cache(_RANK_CACHE_SIZE)
 def rank(name: str) -> bytes:
-  """Returns where a name stands in an order that all routers agree on.
+  """Returns the sort key of a name, which is the same on all routers.
 
-  A hash: a router's coming or going moves nobody else.
+  It is a hash, so a router that joins or leaves does not reorder the others.
   """
   return hashlib.blake2b(name.encode(), digest_size=8).digest()
 
 
 def _log_gone(lives: Set[str]) -> None:
-  """Logs who has gone: one line, however many have."""
-  named = sorted(lives)[:_LOGGED]
-  logger.info("routers gone", extra={"count": len(lives), "lives": named})
+  """Logs the lives that have gone, in one line however many there are."""
+  logged = sorted(lives)[:_MAX_LOGGED_LIVES]
+  logger.info("routers gone", extra={"count": len(lives), "lives": logged})
 
 
 def from_row(row: Mapping[str, Any]) -> Member:
-  """Returns a router as a table of its fields tells it.
+  """Returns the member described by a mapping of its fields.
 
   Raises:
-    KeyError, TypeError: a field is missing, or it is no table.
+    KeyError, TypeError: a field is missing, or `row` is not a mapping.
   """
   return Member(**{field: str(row[field]) for field in Member._fields})
 
 
 def decode(records: Iterable[protocol.Record]) -> list[Member]:
-  """Returns who registered; entries that make no sense are passed over."""
-  members = (_member(record) for record in records)
+  """Returns the registered routers; malformed entries are skipped."""
+  members = (_decode_record(record) for record in records)
   return [member for member in members if member is not None]
 
 
-def _member(record: protocol.Record) -> Member | None:
-  """Returns who registered, None where the entry makes no sense."""
+def _decode_record(record: protocol.Record) -> Member | None:
+  """Returns the registered router, None if the entry is malformed."""
   try:
     return from_row(json.loads(record.value))
   except (KeyError, TypeError, ValueError, RecursionError) as exc:
--- a/mustardfall/membership/peers.py
+++ b/mustardfall/membership/peers.py
@@ -1,8 +1,8 @@
-"""Calls from one router to another: tokens of budgets that it owns.
+"""Calls between routers, to share the tokens of budgets.
 
-HTTP with JSON on the routers' own port, never the callers'. Every call
-is safe to repeat (parts are named by the asker), so a lost reply is
-answered by asking again or by settling the part as unused.
+They are HTTP with JSON on the routers' own port, which callers do not use.
+Every call is idempotent (the requesting router names the parts), so after a
+lost reply it asks again, or settles the part as unused.
 """
 
 from collections.abc import Awaitable, Callable
@@ -22,14 +22,17 @@
 
 
 Post = Callable[[str, dict[str, Any], float], Awaitable[dict[str, Any]]]
-"""Posts a JSON body to a URL with a timeout in seconds, returns the answer.
+"""Posts a JSON body to a URL with a timeout in seconds; returns the answer.
 
-Raises `errors.PeerUnavailableError` when there was no answer.
+Raises `errors.PeerUnavailableError` if there was no answer.
 """
 
 
 class ReserveRequest(NamedTuple):
-  """Asks the owner of `budget` for `least` to `want` tokens as `part`."""
+  """Requests `least` to `want` tokens of `budget` from its owner.
+
+  `part` is the id of the part of a grant to be returned.
+  """
 
   budget: str
   customer: str
@@ -39,11 +42,11 @@
 
 
 class ReserveReply(NamedTuple):
-  """The owner's answer: a part of its grant `gid`, or 0 tokens.
+  """The owner's answer: the tokens of a part of its grant `gid`, or 0.
 
-  `unsure` says that the owner could not reach the KV: its answer is no
-  refusal, and the asker may try the KV itself. `exhausted` says that the
-  budget cannot cover the tokens, whatever comes back to it.
+  `unsure` means that the owner could not reach the KV: its answer is not a
+  refusal, and the requesting router may try the KV itself. `exhausted` means
+  that the budget cannot cover the tokens even if all unused ones are returned.
   """
 
   tokens: int
@@ -53,7 +56,7 @@
 
 
 class EndedPart(NamedTuple):
-  """A part that has ended, and the tokens used of it."""
+  """A part that is no longer drawn from, and the tokens used of it."""
 
   part: str
   used: int
@@ -63,7 +66,7 @@
   """Calls other routers.
 
   Args:
-    post: makes the calls.
+    post: makes the HTTP calls.
     config: timeouts.
   """
 
@@ -73,7 +76,7 @@
     self.calls = 0
 
   async def _post(self, member: members.Member, path: str, body) -> dict | None:
-    """Returns the answer, or None when there was none."""
+    """Returns the answer, or None if there was none."""
     self.calls += 1
     try:
       return await self._send(
@@ -89,36 +92,39 @@
   async def reserve(
       self, owner: members.Member, ask: ReserveRequest
   ) -> ReserveReply | None:
-    """Asks for a part; None when the owner gave no answer."""
+    """Requests a part; None if the owner gave no valid answer."""
     answer = await self._post(owner, RESERVE_PATH, ask._asdict())
     if answer is None:
       return None
-    handed = _decode_handed(answer)
-    if handed is None:
+    reply = _decode_reply(answer)
+    if reply is None:
       logger.warning(
           "peer answer unreadable",
           extra={"peer": owner.life, "call": RESERVE_PATH},
       )
-    return handed
+    return reply
 
   async def settle(self, owner: members.Member, ended: list[EndedPart]) -> bool:
-    """Tells the owner of ended parts; returns whether it heard."""
+    """Reports ended parts to the owner; returns whether it answered."""
     body = {"ended": [e._asdict() for e in ended]}
     return await self._post(owner, SETTLE_PATH, body) is not None
 
   async def recall(self, holder: members.Member, budget: str) -> bool:
-    """Asks a holder to give idle tokens of `budget` back now."""
+    """Asks a holder to return idle tokens of `budget`; whether it answered."""
     body = {"budget": budget}
     return await self._post(holder, RECALL_PATH, body) is not None
 
   async def review(self, successor: members.Member, budget: str) -> bool:
-    """Asks a router to give back what its earlier lives did not draw."""
+    """Asks a router to return tokens of `budget` that its earlier lives held.
+
+    These are tokens that were not drawn. Returns whether it answered.
+    """
     body = {"budget": budget}
     return await self._post(successor, REVIEW_PATH, body) is not None
 
 
-def _decode_handed(answer: Any) -> ReserveReply | None:
-  """Decodes an owner's answer; None where it makes no sense.
+def _decode_reply(answer: Any) -> ReserveReply | None:
+  """Decodes an owner's answer; None if it is malformed.
 
   The owner may run another version, with more fields or fewer.
   """
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -1,4 +1,4 @@
-"""Membership: who owns a budget, and when a router counts as gone."""
+"""Membership: the owner of a budget, and when a router counts as gone."""
 
 import datetime
 import json
@@ -31,9 +31,9 @@
   def _owners(self) -> dict[str, str]:
     return {f"b{i}": self.view.owner(f"b{i}").name for i in range(2000)}
 
-  def test_ownership_is_spread_and_moves_little(self):
-    # One of eight routers is replaced: only its budgets change hands,
-    # else each of the day's restarts would shuffle all allotments.
+  def test_ownership_is_spread_and_stable(self):
+    # When one of eight routers leaves, only its budgets change their owner;
+    # else each of the day's restarts would move all allotments.
     before = self._owners()
     self.assertEqual(8, len(set(before.values())))
     self.view.update([_member(i) for i in range(8) if i != 3])
@@ -41,24 +41,24 @@
     moved = [b for b in before if before[b] != after[b]]
     self.assertEqual({"r3"}, {before[b] for b in moved})
 
-  def test_router_that_starts_again_owns_what_it_owned(self):
-    # All routers die and start anew. By life, nearly every budget would
-    # change hands, and its tokens would lie with routers that own it no more.
+  def test_restarted_router_keeps_its_budgets(self):
+    # All routers restart. If owners were chosen by life, nearly every budget
+    # would change its owner, and its tokens would be with the former ones.
     before = self._owners()
     again = [_member(i)._replace(epoch="f") for i in range(1, 8)]
     self.view.update([_member(0), *again])
     self.assertEqual(before, self._owners())
 
-  def test_deputies_come_in_order_and_suspects_last(self):
+  def test_candidates_are_in_order_with_suspects_last(self):
     first, second, third = self.view.candidates("b")
     self.assertEqual(first, self.view.owner("b"))
     self.view.suspect(first.life)
     self.assertEqual([second, third, first], self.view.candidates("b"))
     self.assertEqual(second, self.view.owner("b"))
 
-  def test_few_owners_change_only_with_an_owner(self):
-    # With a bound on owners, a restart of another router moves nothing;
-    # an owner's going brings in one newcomer.
+  def test_limited_owners_change_only_when_one_leaves(self):
+    # With a limit on the number of owners, a restart of another router moves
+    # no budget, and an owner that leaves is replaced by one other router.
     config = settings.Membership(owners=3)
     self.view = members.Members(
         None, _member(0), config, self.clock, events.Bus()
@@ -81,9 +81,9 @@
     self.assertEqual({"r0", "r1"}, set(self._owners().values()))
     self.assertEqual(2, self.view.regions)
 
-  def test_router_that_does_not_answer_is_passed_over_for_a_moment(self):
-    # Its lease lapses much later; until then every request on its
-    # budgets would wait for a timeout.
+  def test_router_that_does_not_answer_is_suspected_for_some_time(self):
+    # Its lease expires much later; until then every request on its budgets
+    # would wait for a timeout.
     before = self._owners()
     self.view.suspect("r3:e")
     during = self._owners()
@@ -91,9 +91,9 @@
     self.clock.advance(datetime.timedelta(seconds=3))
     self.assertEqual(before, self._owners())
 
-  def test_router_out_of_touch_takes_nobody_for_gone(self):
-    # A router that was cut off, or paused, has heard of nobody for long.
-    # It must not write everyone's grants off; nor right after it is back.
+  def test_disconnected_router_takes_no_other_for_gone(self):
+    # A router that was disconnected or paused has an old list. It must not
+    # write off the grants of all others, not even right after it reconnects.
     self.view._connected_since = self.clock.monotonic()
     self.view.update([_member(i) for i in range(7)])
     self.clock.advance(datetime.timedelta(seconds=11))
@@ -105,9 +105,9 @@
     self.clock.advance(datetime.timedelta(seconds=5))
     self.assertFalse(self.view.has_gone("r7:e"))
 
-  def test_entry_that_makes_no_sense_hides_no_other(self):
-    # Something else wrote under the routers' prefix. Were the list given up
-    # for it, each router would know of itself only and own every budget.
+  def test_malformed_entry_is_skipped(self):
+    # Another program wrote under the routers' prefix. If the whole list were
+    # rejected, each router would know only itself and own every budget.
     good = members.PREFIX + "r1"
     value = json.dumps(_member(1)._asdict()).encode()
     for raw in (b"", b"\xff", b"[]", b"{}", b"[" * 100_000):
@@ -130,7 +130,7 @@
 
 
 class _Store:
-  """Holds the routers' entries."""
+  """A store that holds the routers' entries."""
 
   def __init__(self, records) -> None:
     self.records = records
