--- a/mustardfall/membership/notices.py
+++ b/mustardfall/membership/notices.py
@@ -1,11 +1,12 @@
-"""Tells routers whether the documents that they share have changed.
-
-Were each router to read the server list each second, the KV's calls would
-grow with the fleet, and its rates do not. Few read, and tell the others by
-datagram the digest of what they found, and what has changed. A router that
-knows the same, or the version before, needs no call. Whoever hears nothing for
-a while reads for itself, a few first: a reader that dies, freezes or is cut
-off is replaced by deputies that tell the others again.
+"""Announces changes of the shared documents to other routers.
+
+If each router read the server list every second, the number of calls to the
+KV would grow with the fleet, but its rate limits do not. Therefore only a few
+routers (readers) read the documents. They announce by datagram the digests of
+the current versions, and what has changed. A router that has the same version,
+or the previous one, needs no call. A router that receives no notices for some
+time reads for itself, a few deputies first: they replace a reader that died,
+hangs or is disconnected, and announce to the others in its place.
 """
 
 from typing import Any, NamedTuple
@@ -19,40 +20,41 @@
 from mustardfall.util import clock as clock_lib
 
 _READERS = 2
-"""Routers of a region that always read: one may be cut off from the KV."""
+"""Readers of a region; one alone may be disconnected from the KV."""
 _DEPUTIES = 6
-"""Further ones that read, one after the other, when these fall silent."""
-_FIRST_DEPUTY = 0.55
-"""Part of the time of silence after which the first deputy reads; the last
-one does a little before all others would."""
-_TELL_AGAIN_S = 0.05
-"""News is told twice: one datagram in some hundreds is lost."""
-_MOST_BYTES = 1_300
-"""Of a datagram, so that it is sent in one packet. Changes that make it longer
-are not told; who is behind asks another router for them."""
-_BRANCHES = 4
-"""Routers that ask the same one for a change."""
-_MOST_ASKED = 3
-"""Routers that one asks in turn."""
-_MOST_CONTENT_BYTES = 65_536
-"""Of what it unpacks to."""
-
-
-class Heard(NamedTuple):
+"""Deputies, which start to read in turn if the readers fall silent."""
+_FIRST_DEPUTY_DELAY = 0.55
+"""Delay of the first deputy, as a share of the silence after which any router
+reads; the last deputy's delay is a little less than that of all others."""
+_RESEND_DELAY_S = 0.05
+"""Each change is announced twice, as one datagram in some hundreds is lost."""
+_MAX_DATAGRAM_BYTES = 1_300
+"""Size of a datagram that is sent in one packet. Changes that do not fit are
+left out; a router that is behind fetches them from another one."""
+_RELAY_FANOUT = 4
+"""Routers that fetch changes from the same router."""
+_MAX_RELAY_SOURCES = 3
+"""Routers that are asked in turn for a change."""
+_MAX_UNPACKED_BYTES = 65_536
+"""Limit of a notice's size after decompression."""
+
+
+class LatestNotice(NamedTuple):
   """The latest notice of a document."""
 
   digest: str
   as_of: float
-  """When its teller knew the document to be current, monotonic seconds."""
+  """When its sender knew the document to be current, in seconds of this
+  router's monotonic clock."""
 
 
 class Notices:
-  """Tells and hears which documents are current.
+  """Sends and receives notices of the current versions of documents.
 
   Args:
-    datagrams: carries the notices.
-    members: who is up.
-    copies: what this router knows; kept current here.
+    datagrams: sends and receives the notices.
+    members: the routers that are up.
+    copies: this router's copies of the documents; updated by notices.
     clock: the time source.
   """
 
@@ -67,139 +69,147 @@
     self._members = members
     self._copies = copies
     self._clock = clock
-    self._heard: dict[str, Heard] = {}
-    self._came = anyio.Event()
-    datagrams.connect(datagrams_lib.Kind.NOTICE, self._take)
+    self._latest: dict[str, LatestNotice] = {}
+    self._received = anyio.Event()
+    datagrams.connect(datagrams_lib.Kind.NOTICE, self._handle_notice)
 
   @property
   def is_reader(self) -> bool:
-    """Whether this router is among those that always read."""
+    """Whether this router always reads documents from the KV."""
     return not self._datagrams.is_open or self._members.rank < _READERS
 
   @property
   def is_announcer(self) -> bool:
-    """Whether this router tells the others what it reads."""
+    """Whether this router, a reader or deputy, announces what it reads."""
     if not self._datagrams.is_open:
       return False
     return self._members.rank < _READERS + _DEPUTIES
 
   def read_delay_s(self, silence_s: float) -> float:
-    """Returns after how long a silence this router reads for itself.
+    """Returns the time without notices after which this router reads.
 
     Args:
-      silence_s: after which any router does.
+      silence_s: the time after which a router without a role reads.
     """
     if self.is_reader:
       return 0.0
     if not self.is_announcer:
       return silence_s
-    place = (self._members.rank - _READERS) / _DEPUTIES
-    return silence_s * (_FIRST_DEPUTY + (1 - _FIRST_DEPUTY) * place)
+    position = (self._members.rank - _READERS) / _DEPUTIES
+    return silence_s * (
+        _FIRST_DEPUTY_DELAY + (1 - _FIRST_DEPUTY_DELAY) * position
+    )
 
   def relay_sources(self) -> list[members_lib.Member]:
-    """Returns the routers to ask in turn for a change that was not told.
+    """Returns the routers to ask in turn for a change too large for a notice.
 
-    They form a tree below the readers, so that none serves more than a few.
+    Routers form a tree below the readers, so that each serves only a few.
     """
     ranked = self._members.ranked
-    place = self._members.rank
-    found = []
-    while place >= _READERS:
-      place = (place - _READERS) // _BRANCHES
-      found.append(ranked[place])
-    # The last one has read the change itself; the other reader has, too.
-    found = [*found[: _MOST_ASKED - 1], *found[-1:], *ranked[:_READERS]]
-    distinct = {m.life: m for m in found if m.life != self._members.me.life}
-    return list(distinct.values())[:_MOST_ASKED]
+    position = self._members.rank
+    candidates = []
+    while position >= _READERS:
+      position = (position - _READERS) // _RELAY_FANOUT
+      candidates.append(ranked[position])
+    # The last one is a reader, which has read the change; so has the other reader.
+    candidates = [
+        *candidates[: _MAX_RELAY_SOURCES - 1],
+        *candidates[-1:],
+        *ranked[:_READERS],
+    ]
+    distinct = {
+        m.life: m for m in candidates if m.life != self._members.me.life
+    }
+    return list(distinct.values())[:_MAX_RELAY_SOURCES]
 
   def announced_digest(self, name: str) -> str:
-    """Returns the digest of the latest version told, empty without any."""
-    heard = self._heard.get(name)
-    return heard.digest if heard is not None else ""
+    """Returns the latest announced digest of a document, empty if none was."""
+    notice = self._latest.get(name)
+    return notice.digest if notice is not None else ""
 
   def since_notice_s(self, name: str) -> float:
-    """Returns for how long others have told nothing about a document."""
-    heard = self._heard.get(name)
+    """Returns the seconds since a document's latest notice was current."""
+    notice = self._latest.get(name)
     now = self._clock.monotonic()
-    return now - heard.as_of if heard is not None else float("inf")
+    return now - notice.as_of if notice is not None else float("inf")
 
   def is_up_to_date(self, name: str) -> bool:
-    """Whether no notice tells of a later version than the one kept here."""
-    heard, copy = self._heard.get(name), self._copies.find(name)
-    if heard is None:
+    """Whether no later version than this router's copy has been announced."""
+    notice, copy = self._latest.get(name), self._copies.find(name)
+    if notice is None:
       return True
     if copy is None:
       return False
-    return heard.as_of <= copy.as_of or heard.digest == copy.digest
+    return notice.as_of <= copy.as_of or notice.digest == copy.digest
 
-  async def wait(self, most_s: float) -> None:
-    """Waits for the next notice of any document."""
-    with anyio.move_on_after(max(0.0, most_s)):
-      await self._came.wait()
+  async def wait(self, max_s: float) -> None:
+    """Waits for the next notice of any document, for at most `max_s`."""
+    with anyio.move_on_after(max(0.0, max_s)):
+      await self._received.wait()
 
   async def announce(self) -> None:
-    """Tells the region's other routers the digests of all documents."""
+    """Announces the digests of all documents to the region's other routers."""
     await self._send({})
 
   async def announce_change(self, name: str, change: deltas.Delta) -> None:
-    """Tells them at once what has changed of a document."""
+    """Announces a change of a document to them, twice."""
     await self._send({name: change})
-    await anyio.sleep(_TELL_AGAIN_S)
+    await anyio.sleep(_RESEND_DELAY_S)
     await self._send({name: change})
 
   async def _send(self, changes: dict[str, deltas.Delta]) -> None:
     region = self._members.me.region
-    near = [m for m in self._members.others if m.region == region]
+    receivers = [m for m in self._members.others if m.region == region]
     content = self._encode(changes)
-    if len(content) > _MOST_BYTES:
+    if len(content) > _MAX_DATAGRAM_BYTES:
       content = self._encode({})
-    await self._datagrams.send(datagrams_lib.Kind.NOTICE, content, near)
+    await self._datagrams.send(datagrams_lib.Kind.NOTICE, content, receivers)
 
   def _encode(self, changes: dict[str, deltas.Delta]) -> bytes:
     now = self._clock.monotonic()
-    told = {}
+    announced = {}
     for name in self._copies.names:
       copy = self._copies.find(name)
       age_s = round(now - copy.as_of, 3)
-      told[name] = [copy.digest, age_s]
+      announced[name] = [copy.digest, age_s]
       if name in changes:
-        told[name].append(changes[name])
-    return deltas.pack(told)
+        announced[name].append(changes[name])
+    return deltas.pack(announced)
 
-  def _take(self, raw: bytes) -> None:
+  def _handle_notice(self, raw: bytes) -> None:
     now = self._clock.monotonic()
     for name, (digest, age_s, *change) in _decode(raw).items():
       if self._copies.find(name) is None:
-        continue  # it is read first; other names are nothing to keep
-      # One that was current in the future would stand for every later one.
-      heard = Heard(str(digest), now - max(0.0, float(age_s)))
-      last = self._heard.get(name)
-      if last is None or heard.as_of > last.as_of:
-        self._heard[name] = heard
-      self._update(name, heard, change)
-    self._came.set()
-    self._came = anyio.Event()
-
-  def _update(self, name: str, heard: Heard, change: list[Any]) -> None:
-    """Brings the copy kept here up to what was heard, as far as that goes."""
+        continue  # not read yet, or an unknown name that must not use memory
+      # A time in the future would make all later notices look outdated.
+      notice = LatestNotice(str(digest), now - max(0.0, float(age_s)))
+      latest = self._latest.get(name)
+      if latest is None or notice.as_of > latest.as_of:
+        self._latest[name] = notice
+      self._update(name, notice, change)
+    self._received.set()
+    self._received = anyio.Event()
+
+  def _update(self, name: str, notice: LatestNotice, change: list[Any]) -> None:
+    """Updates this router's copy of a document from a notice, if possible."""
     copy = self._copies.find(name)
-    if copy is None or heard.as_of <= copy.as_of:
-      return  # what is known here was current later than what is told
-    if copy.digest == heard.digest:
-      self._copies.confirm(name, heard.as_of)
+    if copy is None or notice.as_of <= copy.as_of:
+      return  # the copy was current later than the notice
+    if copy.digest == notice.digest:
+      self._copies.confirm(name, notice.as_of)
     elif change:
       try:
         document = deltas.apply(copy.document, change[0])
       except KeyError:
-        return  # of a version with other fields than the one kept here
-      if self._copies.digest(name, document) == heard.digest:
-        self._copies.put(name, document, heard.as_of)
+        return  # the delta is for a version with other fields
+      if self._copies.digest(name, document) == notice.digest:
+        self._copies.put(name, document, notice.as_of)
       elif name == members_lib.PREFIX:
-        # Registrations come by the dozen while this router has only some of
-        # them; each that is known is one that need not be read.
+        # Dozens of routers may register at once, and this one may have missed
+        # some notices. Each registration applied need not be read from the KV.
         self._copies.put(name, document, copy.as_of)
 
 
 def _decode(raw: bytes) -> dict[str, Any]:
-  """Returns what a notice tells; raises ValueError where it is none."""
-  return deltas.unpack(raw, _MOST_CONTENT_BYTES)
+  """Decodes a notice; raises ValueError if it is malformed."""
+  return deltas.unpack(raw, _MAX_UNPACKED_BYTES)
--- a/mustardfall/membership/relay.py
+++ b/mustardfall/membership/relay.py
@@ -1,13 +1,13 @@
-"""Documents of the store, passed on from router to router.
+"""Relays documents of the store between routers.
 
 The store may refuse some hosts and serve the others. A router that cannot
-read the configuration or the list of endpoints asks the others for what
-they have read: a key that was revoked, or an endpoint that leaves, is
-then known everywhere although the store told only some.
+read the configuration or the list of endpoints fetches them from other
+routers, so that a revoked key or a leaving endpoint becomes known everywhere
+even if only some routers can read the store.
 
-A change that no datagram holds is asked for, too. Read from the store it would
-come as the whole document, many times as long, and each host's link has to
-carry that beside its callers' streams.
+A change that is too large for a datagram is fetched from other routers, too.
+The store would return the whole document, many times as large, over a link
+that also carries the host's streams to callers.
 """
 
 import base64
@@ -28,38 +28,40 @@
 logger = logging.getLogger(__name__)
 
 PATH = "/peer/documents"
-_ASKED = 2
-"""Other routers asked at once: one may be cut off, too."""
-_FRESH_S = 2.5
-"""Documents that were current longer ago are no news."""
+_FETCH_FANOUT = 2
+"""Routers asked in parallel, as the store may be out of reach for one, too."""
+_MAX_AGE_S = 2.5
+"""Documents last known to be current longer ago are not served."""
 _TIMEOUT_S = 0.4
-_HOLD_S = 0.25
-"""How long a question is held by a router that does not know the wanted version
-yet; it is about to, and would only be asked again."""
-_MOST_BYTES = 8_388_608
-"""Of what an answer unpacks to."""
-_PACKED_KEPT = 8
-"""Changes kept as they were told last; a dozen routers ask for the same one."""
+_MAX_WAIT_S = 0.25
+"""How long a request for a version that this router does not have yet waits for
+it. The version usually arrives soon; without the wait the request would only be
+repeated."""
+_MAX_UNPACKED_BYTES = 8_388_608
+"""Limit of an answer's size after decompression."""
+_PACKED_CACHE_SIZE = 8
+"""Packed changes cached, since a dozen routers ask for the same one."""
 
 _MALFORMED = (AttributeError, KeyError, TypeError, ValueError)
-"""What decoding an answer that makes no sense may raise."""
+"""Exceptions that decoding a malformed answer may raise."""
 
 
 class Fetched(NamedTuple):
-  """A document that another router knows."""
+  """A document fetched from another router."""
 
   document: deltas.Document
   as_of: float
-  """When that router knew it to be current, monotonic seconds of this one."""
+  """When that router last knew it to be current, in seconds of this router's
+  monotonic clock."""
 
 
 class Relay:
-  """Serves this router's copies, and asks others for theirs.
+  """Serves this router's copies of documents, and fetches those of others.
 
   Args:
-    members: who is up.
-    post: makes the calls.
-    copies: what this router knows.
+    members: the routers that are up.
+    post: makes the HTTP calls.
+    copies: this router's copies of the documents.
     clock: the time source.
   """
 
@@ -74,72 +76,76 @@
     self._post = post
     self._copies = copies
     self._clock = clock
-    self._packed: collections.OrderedDict[tuple[str, str, str], str]
-    self._packed = collections.OrderedDict()
-    """What was told by name, version before and version after."""
+    self._packed_cache: collections.OrderedDict[tuple[str, str, str], str]
+    self._packed_cache = collections.OrderedDict()
+    """Packed changes by document name, digest before and digest after."""
 
   async def serve(self, body: dict[str, Any]) -> dict[str, Any]:
-    """Answers another router with what was current lately.
+    """Answers another router with the documents that were recently current.
 
     Args:
-      body: `names` of documents; `have`, the asker's version of each, where it
-        has one; `want`, the version it was told of, which is waited for.
+      body: `names` of documents; `have`, the digest of the requesting router's
+        copy of each, where it has one; `want`, the announced digest of each,
+        which is waited for.
     """
     have, want = body.get("have", {}), body.get("want", {})
     answer = {}
     for name in body["names"]:
       if name in want:
-        await self._copies.wait_for(name, want[name], _HOLD_S)
+        await self._copies.wait_for(name, want[name], _MAX_WAIT_S)
       copy, age_s = self._copies.find(name), self._copies.age_s(name)
-      if copy is None or age_s >= _FRESH_S:
+      if copy is None or age_s >= _MAX_AGE_S:
         continue
-      answer[name] = {"age_s": age_s, **self._tell(name, copy, have.get(name))}
+      answer[name] = {
+          "age_s": age_s,
+          **self._describe(name, copy, have.get(name)),
+      }
     return answer
 
-  def _tell(
+  def _describe(
       self, name: str, copy: copies_lib.Copy, have: str | None
   ) -> dict[str, Any]:
-    """Returns a document, or what has changed of the asker's version."""
-    before = None if have is None else self._copies.find_earlier(name, have)
+    """Returns a document, or the change from the digest `have` if possible."""
+    before = None if have is None else self._copies.find_previous(name, have)
     if copy.digest == have:
       return {"digest": have}
     if before is None:
       return {"document": copy.document}
     key = (name, before.digest, copy.digest)
-    packed = self._packed.get(key)
+    packed = self._packed_cache.get(key)
     if packed is None:
       change = deltas.diff(before.document, copy.document)
       packed = base64.b64encode(deltas.pack(change)).decode()
-      self._packed[key] = packed
-      if len(self._packed) > _PACKED_KEPT:
-        self._packed.popitem(last=False)
+      self._packed_cache[key] = packed
+      if len(self._packed_cache) > _PACKED_CACHE_SIZE:
+        self._packed_cache.popitem(last=False)
     return {"change": packed, "digest": copy.digest}
 
   async def fetch(self, name: str) -> Fetched | None:
-    """Returns a document as the freshest of some others knows it."""
+    """Returns the most recent copy of a document among some other routers."""
     others = self._members.others
-    asked = random.sample(others, min(_ASKED, len(others)))
-    found: list[Fetched] = []
+    asked = random.sample(others, min(_FETCH_FANOUT, len(others)))
+    fetched: list[Fetched] = []
 
-    async def _ask(member: members_lib.Member) -> None:
+    async def _fetch(member: members_lib.Member) -> None:
       answer = await self.fetch_from(member, name)
       if answer is not None:
-        found.append(answer)
+        fetched.append(answer)
 
     async with anyio.create_task_group() as tasks:
       for member in asked:
-        tasks.start_soon(_ask, member)
-    return max(found, key=lambda f: f.as_of, default=None)
+        tasks.start_soon(_fetch, member)
+    return max(fetched, key=lambda f: f.as_of, default=None)
 
   async def fetch_from(
       self, member: members_lib.Member, name: str, want: str = ""
   ) -> Fetched | None:
-    """Returns what one router knows of a document, None if that is no news.
+    """Returns one router's copy of a document, None if it sent no usable one.
 
     Args:
       member: the router.
       name: the document.
-      want: the version to wait for there; empty: whatever it has.
+      want: the digest of the version to wait for; empty for any version.
     """
     copy = self._copies.find(name)
     body: dict[str, Any] = {"names": [name]}
@@ -149,13 +155,13 @@
       body["want"] = {name: want}
     try:
       answer = await self._post(member.url + PATH, body, _TIMEOUT_S)
-      told = answer.get(name)
-      if not told:
+      entry = answer.get(name)
+      if not entry:
         return None
-      document = self._read(name, told)
-      age_s = max(0.0, float(told["age_s"]))
+      document = self._decode(name, entry)
+      age_s = max(0.0, float(entry["age_s"]))
     except (errors.PeerUnavailableError, *_MALFORMED) as exc:
-      logger.debug("no documents from %s: %r", member.life, exc)
+      logger.debug("document not fetched from %s: %r", member.life, exc)
       return None
     if document is None:
       return None
@@ -165,25 +171,27 @@
             "document": name,
             "peer": member.life,
             "age_s": round(age_s, 3),
-            "part": "change" if "change" in told else "whole",
+            "part": "change" if "change" in entry else "whole",
         },
     )
     return Fetched(document, self._clock.monotonic() - age_s)
 
-  def _read(self, name: str, told: dict[str, Any]) -> deltas.Document | None:
-    """Returns the document that an answer tells, None if it does not fit.
+  def _decode(self, name: str, entry: dict[str, Any]) -> deltas.Document | None:
+    """Returns the document in an answer, None if a change does not apply.
 
     Raises:
-      KeyError, TypeError, ValueError: the answer makes no sense.
+      KeyError, TypeError, ValueError: the answer is malformed.
     """
-    if "document" in told:
-      return dict(told["document"])
+    if "document" in entry:
+      return dict(entry["document"])
     copy = self._copies.find(name)
     if copy is None:
       return None
-    if told["digest"] == copy.digest:
+    if entry["digest"] == copy.digest:
       return copy.document
-    raw = base64.b64decode(told["change"])
-    document = deltas.apply(copy.document, deltas.unpack(raw, _MOST_BYTES))
-    is_right = self._copies.digest(name, document) == told["digest"]
-    return document if is_right else None
+    raw = base64.b64decode(entry["change"])
+    document = deltas.apply(
+        copy.document, deltas.unpack(raw, _MAX_UNPACKED_BYTES)
+    )
+    matches = self._copies.digest(name, document) == entry["digest"]
+    return document if matches else None
--- a/tests/test_notices.py
+++ b/tests/test_notices.py
@@ -1,11 +1,11 @@
-"""Few routers read the server list; all know of a change in time.
-
-What callers saw: on 78 hosts nothing at first, but the store's calls grew with
-the fleet (one list a second, one watch each two, from each), and with them the
-time that a router spent on lists that had not changed. Two read for all now.
-A router that relied on readers which have died, or on a datagram that was
-lost, would go on sending requests to a server that has left; so one that hears
-nothing for a moment reads for itself.
+"""Few routers read the server list, yet all know of a change in time.
+
+When each router read the list once a second and watched it in calls of two
+seconds, the store's calls grew with the fleet (78 hosts), and so did the
+processor time for lists that had not changed. Now two routers read for all. A
+router that relied on dead readers or lost datagrams would go on sending
+requests to a server that has left, so a router that receives no notices for
+some time reads for itself.
 """
 
 import json
@@ -35,13 +35,13 @@
 _ROUTERS = 78
 _LARGE = 195
 _IN_FORCE_S = 2.0
-"""Within which a change must be known to all."""
+"""Time within which a change must be known to all."""
 _CHANGE_BYTES = 35_000
-"""Of a router for one change: 7 KB/s for the 5 s that it may take."""
+"""Limit of a router's traffic for one change: 7 KB/s for 5 s."""
 
 
 class _Net:
-  """Carries notices between routers; loses what it is told to lose."""
+  """Carries notices between routers, except from senders chosen by `lose`."""
 
   def __init__(self) -> None:
     self.handlers = {}
@@ -53,23 +53,23 @@
 
 
 class _Port:
-  """Stands for `datagrams.Datagrams`."""
+  """Stands in for `datagrams.Datagrams`."""
 
   is_open = True
 
   def __init__(self, net: _Net, name: str) -> None:
     self._net, self._name = net, name
 
-  def connect(self, kind, take):
+  def connect(self, kind, handler):
     assert kind is datagrams.Kind.NOTICE
-    self._net.handlers[self._name] = take
+    self._net.handlers[self._name] = handler
 
-  async def send(self, kind, content, told):
+  async def send(self, kind, content, receivers):
     del kind
-    for member in told:
+    for member in receivers:
       self._net.bytes += len(content)
-      is_there = member.name in self._net.handlers
-      if is_there and not self._net.lose(self._name):
+      is_up = member.name in self._net.handlers
+      if is_up and not self._net.lose(self._name):
         self._net.handlers[member.name](content)
 
 
@@ -82,13 +82,13 @@
     self.revision = 1
     self._records = {}
     self._changed = anyio.Event()
-    self.away = False
-    self.deaf = False
-    """Whether watches that wait now never hear of a change."""
+    self.unavailable = False
+    self.silent = False
+    """Whether waiting watches are never notified of a change."""
     self.refused = set()
-    """Hosts that are turned away."""
+    """Names of hosts whose calls are refused."""
     self.transfer_s = {}
-    """How long answers take to reach a host, by its name."""
+    """Seconds that an answer takes to reach a host, by the host's name."""
 
   def put(self, key: str, value: dict) -> None:
     self.revision += 1
@@ -100,11 +100,11 @@
   async def get_prefix(self, prefix):
     self.calls += 1
     await anyio.sleep(0.004)
-    if self.away:
+    if self.unavailable:
       raise errors.KvUnavailableError("away")
-    found = [r for k, r in self._records.items() if k.startswith(prefix)]
-    self._count(found)
-    return self.revision, found
+    records = [r for k, r in self._records.items() if k.startswith(prefix)]
+    self._count(records)
+    return self.revision, records
 
   def _count(self, records):
     """Adds the size of an answer, whose values are base64 text."""
@@ -112,16 +112,16 @@
 
   async def poll(self, prefix, after, wait_s):
     self.calls += 1
-    if self.away:
+    if self.unavailable:
       raise errors.KvUnavailableError("away")
     with anyio.move_on_after(wait_s) as scope:
-      while self.deaf or not self._since(prefix, after):
+      while self.silent or not self._since(prefix, after):
         await self._changed.wait()
-    if scope.cancelled_caught and self.deaf:
+    if scope.cancelled_caught and self.silent:
       raise errors.KvUnavailableError("watch: silent")
-    found = self._since(prefix, after)
-    self._count(found)
-    return self.revision, [protocol.Event(False, record) for record in found]
+    records = self._since(prefix, after)
+    self._count(records)
+    return self.revision, [protocol.Event(False, record) for record in records]
 
   def _since(self, prefix, after):
     return [
@@ -132,7 +132,7 @@
 
 
 class _Host:
-  """The store as one host reaches it."""
+  """The store as seen from one host."""
 
   def __init__(self, store: _Store, name: str) -> None:
     self._store, self._name = store, name
@@ -144,22 +144,22 @@
 
   async def get_prefix(self, prefix):
     self._check()
-    found = await self._store.get_prefix(prefix)
+    answer = await self._store.get_prefix(prefix)
     await anyio.sleep(self._store.transfer_s.get(self._name, 0.0))
-    return found
+    return answer
 
   async def poll(self, prefix, after, wait_s):
     self._check()
-    found = await self._store.poll(prefix, after, wait_s)
+    answer = await self._store.poll(prefix, after, wait_s)
     await anyio.sleep(self._store.transfer_s.get(self._name, 0.0))
-    return found
+    return answer
 
 
 class _Gateway:
-  """What the followers tell, as one router knows it."""
+  """Stands in for a router's gateway; records what its followers report."""
 
-  def __init__(self, told, copies, view, relay) -> None:
-    self.notices = told
+  def __init__(self, router_notices, copies, view, relay) -> None:
+    self.notices = router_notices
     self.copies = copies
     self.relay = relay
     self.accounts = _Accounts(view)
@@ -179,13 +179,13 @@
 
 
 class _Accounts(NamedTuple):
-  """Who is up."""
+  """Stands in for the accounts; holds the members."""
 
   members: members_lib.Members
 
 
 class _Fleet:
-  """All routers' followers before one store."""
+  """The followers of all routers, and the store that they read."""
 
   def __init__(self, routers: int) -> None:
     self.net = _Net()
@@ -206,10 +206,12 @@
       )
       view.update(everyone)
       copies = copies_lib.Copies(clock)
-      told = notices.Notices(self.net.port(me.name), view, copies, clock)
+      router_notices = notices.Notices(
+          self.net.port(me.name), view, copies, clock
+      )
       relay = relay_lib.Relay(view, self._post, copies, clock)
       self._relays[me.url] = relay
-      gateway = _Gateway(told, copies, view, relay)
+      gateway = _Gateway(router_notices, copies, view, relay)
       self.routers[me.name] = gateway
       self._scopes[me.name] = anyio.CancelScope()
       store = _Host(self.store, me.name)
@@ -226,7 +228,7 @@
 
   @property
   def bytes(self) -> int:
-    """Bytes that all routers were sent for control."""
+    """Control traffic sent to all routers, bytes."""
     return self.net.bytes + self.store.bytes
 
   async def run(self, name: str) -> None:
@@ -256,10 +258,10 @@
 
 
 def in_fleet(test, routers=_ROUTERS):
-  """Runs a test method beside a fleet that has been up for five seconds."""
+  """Runs a test method with a fleet that has been up for five seconds."""
 
   def run(self):
-    async def day():
+    async def run_fleet():
       fleet = _Fleet(routers)
       async with anyio.create_task_group() as tg:
         for name in fleet.routers:
@@ -268,14 +270,14 @@
         await test(self, fleet)
         tg.cancel_scope.cancel()
 
-    virtual.run(day)
+    virtual.run(run_fleet)
 
   run.__name__ = test.__name__
   return run
 
 
 def in_large_fleet(test):
-  """The same with the routers of a large deployment."""
+  """The same as `in_fleet`, with the routers of a large deployment."""
   return in_fleet(test, _LARGE)
 
 
@@ -286,12 +288,12 @@
     before = fleet.store.calls
     await anyio.sleep(20.0)
     per_s = (fleet.store.calls - before) / 20.0
-    # Two readers' lists and watches, and one seldom watch of each other.
+    # Lists and watches of the two readers, and a rare watch by each other one.
     self.assertTrue(per_s <= 15, per_s)
     self.assertEqual(2, len(fleet.readers()))
 
-  async def _leave(self, fleet, number=0):
-    """A server says that it leaves; all must know in time."""
+  async def _check_leaving_server(self, fleet, number=0):
+    """Marks a server as leaving; checks that all routers know in time."""
     fleet.store.put(f"servers/i-{number}", _entry(number, "draining"))
     await anyio.sleep(_IN_FORCE_S)
     late = [
@@ -302,26 +304,28 @@
     self.assertEqual([], late)
 
   @in_fleet
-  async def test_all_know_that_a_server_leaves(self, fleet):
-    await self._leave(fleet)
+  async def test_leaving_server_is_known_to_all(self, fleet):
+    await self._check_leaving_server(fleet)
 
   @in_fleet
-  async def test_readers_that_die_are_not_waited_for(self, fleet):
+  async def test_dead_readers_are_replaced(self, fleet):
     for name in fleet.readers():
       fleet.kill(name)
-    await self._leave(fleet)
-    await self._leave(fleet, 1)
+    await self._check_leaving_server(fleet)
+    await self._check_leaving_server(fleet, 1)
 
   @in_fleet
-  async def test_one_reader_whose_datagrams_are_lost_is_made_good(self, fleet):
+  async def test_other_reader_suffices_if_datagrams_of_one_are_lost(
+      self, fleet
+  ):
     first = fleet.readers()[0]
     fleet.net.lose = lambda sender: sender == first
-    await self._leave(fleet)
+    await self._check_leaving_server(fleet)
 
   @in_fleet
-  async def test_nobody_hears_anything(self, fleet):
+  async def test_all_read_if_all_datagrams_are_lost(self, fleet):
     fleet.net.lose = lambda sender: True
-    await self._leave(fleet)
+    await self._check_leaving_server(fleet)
     fleet.store.put("op/config", platformcase.configuration(version=2))
     await anyio.sleep(_IN_FORCE_S)
     self.assertEqual({2}, {g.version for g in fleet.routers.values()})
@@ -336,9 +340,9 @@
 
   @in_fleet
   async def test_routers_that_are_refused_are_told_the_newest(self, fleet):
-    # A key is revoked while the store turns some routers away. These ask the
-    # others, who knew of it but passed on the configuration of before, as if
-    # it had just been read.
+    # A key is revoked while the store refuses some routers. These ask the
+    # others, which knew the new configuration but passed on the previous one,
+    # as if it had just been read.
     fleet.store.put("op/config", platformcase.configuration(version=7))
     await anyio.sleep(_IN_FORCE_S)
     for gateway in fleet.routers.values():
@@ -348,39 +352,39 @@
       self.assertTrue(age_s < _IN_FORCE_S, age_s)
 
   @in_fleet
-  async def test_a_watch_that_fell_silent_is_made_good_by_notices(self, fleet):
-    # The connection of a watch goes silent for good, without a reset, and it
-    # would be noticed only when the long wait is over.
-    fleet.store.deaf = True
+  async def test_notices_replace_a_silent_watch(self, fleet):
+    # The connection of a watch goes silent without a reset, which is detected
+    # only when the long wait is over.
+    fleet.store.silent = True
     await anyio.sleep(0.1)
     fleet.store.put("op/config", platformcase.configuration(version=2))
     await anyio.sleep(2 * _IN_FORCE_S + 0.2)
     self.assertEqual({2}, {g.version for g in fleet.routers.values()})
 
   @in_fleet
-  async def test_store_that_was_away_is_read_soon(self, fleet):
-    fleet.store.away = True
+  async def test_store_is_read_soon_after_an_outage(self, fleet):
+    fleet.store.unavailable = True
     await anyio.sleep(6.0)
-    fleet.store.away = False
-    await self._leave(fleet)
+    fleet.store.unavailable = False
+    await self._check_leaving_server(fleet)
 
   @in_large_fleet
-  async def test_a_change_is_told_with_the_notice(self, fleet):
-    """Guards against a call of every router to the store at each change."""
+  async def test_notice_contains_the_change(self, fleet):
+    """Guards against a store call by every router at each change."""
     before = fleet.store.calls
     for version in range(2, 6):
       fleet.store.put("op/config", platformcase.configuration(version=version))
       await anyio.sleep(0.5)
-    await self._leave(fleet)
+    await self._check_leaving_server(fleet)
     self.assertEqual({5}, {g.version for g in fleet.routers.values()})
-    # Four changes and one server that leaves: one call each of all would be
-    # five times the fleet.
+    # Four changes and one leaving server: with one call each by all routers,
+    # it would be five times the fleet.
     calls = fleet.store.calls - before
     self.assertTrue(calls <= _LARGE / 2, calls)
 
   @in_fleet
   async def test_a_large_change_is_not_read_whole_by_all(self, fleet):
-    """Guards against links filled by a change that no datagram holds."""
+    """Guards against links filled by a change too large for a datagram."""
     before = fleet.bytes
     fleet.store.put("op/config", test_slow_links.grown_configuration(2))
     await anyio.sleep(_IN_FORCE_S)
@@ -390,7 +394,7 @@
 
   @in_fleet
   async def test_a_reader_with_a_slow_link_holds_nobody_back(self, fleet):
-    """Guards against versions that a slow reader learns late, or takes back."""
+    """Guards against a slow reader that delays versions or reverts them."""
     fleet.store.transfer_s = {fleet.readers()[0]: 1.5}
     known = dict.fromkeys(fleet.routers, 1)
     for version in range(2, 9):
@@ -405,8 +409,8 @@
       self.assertEqual([], late)
 
   @in_fleet
-  async def test_a_large_change_passes_routers_that_died(self, fleet):
-    """Guards against routers below a dead one that stay at the old version."""
+  async def test_a_large_change_bypasses_dead_routers(self, fleet):
+    """Guards against routers below a dead one that keep the old version."""
     ranked = sorted(fleet.routers, key=members_lib.rank)
     for name in (ranked[0], *ranked[2:4], ranked[7]):
       fleet.kill(name)
@@ -415,44 +419,44 @@
     self.assertEqual({2}, {g.version for g in fleet.routers.values()})
 
   @in_large_fleet
-  async def test_routers_that_are_refused_do_not_storm_the_store(self, fleet):
-    """Guards against calls by the thousand while the store refuses some."""
+  async def test_refused_routers_do_not_flood_the_store(self, fleet):
+    """Guards against thousands of calls while the store refuses some hosts."""
     names = list(fleet.routers)
     fleet.store.refused = set(names[::3])
     before = fleet.store.calls
     await anyio.sleep(8.0)
     calls = fleet.store.calls - before
-    # A call a second and router at most, were all of a third to ask.
+    # At most one call a second by each router of the refused third.
     self.assertTrue(calls <= 8 * _LARGE / 3, calls)
 
   @in_large_fleet
-  async def test_readers_that_are_refused_are_stood_in_for(self, fleet):
-    """Guards against all routers reading once the readers cannot."""
+  async def test_refused_readers_are_replaced(self, fleet):
+    """Guards against all routers reading when the readers cannot."""
     fleet.store.refused = set(fleet.readers())
     before = fleet.store.calls
     await anyio.sleep(1.0)
     fleet.store.put("op/config", platformcase.configuration(version=3))
-    await self._leave(fleet)
+    await self._check_leaving_server(fleet)
     await anyio.sleep(5.0)
     self.assertEqual({3}, {g.version for g in fleet.routers.values()})
     calls = fleet.store.calls - before
     self.assertTrue(calls <= 8 * _LARGE, calls)
 
   @in_large_fleet
-  async def test_store_that_comes_back_is_not_stormed(self, fleet):
-    """Guards against a fleet that fills the store's rate while it is down."""
-    fleet.store.away = True
+  async def test_store_is_not_flooded_after_an_outage(self, fleet):
+    """Guards against using up the store's rate limit while it is down."""
+    fleet.store.unavailable = True
     before = fleet.store.calls
     await anyio.sleep(6.0)
     calls = fleet.store.calls - before
-    # Three documents, each asked for once in two seconds by each router.
+    # Three documents, each requested every two seconds by each router.
     self.assertTrue(calls <= 3 * 3 * _LARGE, calls)
-    fleet.store.away = False
-    await self._leave(fleet)
+    fleet.store.unavailable = False
+    await self._check_leaving_server(fleet)
 
   @in_large_fleet
-  async def test_a_third_that_registers_again_is_told(self, fleet):
-    """Guards against all reading who is up at each registration."""
+  async def test_a_third_that_registers_again_is_announced(self, fleet):
+    """Guards against all routers reading the members at each registration."""
     members = [_member(i) for i in range(0, _LARGE, 3)]
     before = fleet.store.calls
     for member in members:
@@ -466,8 +470,8 @@
     self.assertIn("front-a-3:f", lives)
 
   @in_large_fleet
-  async def test_new_servers_and_routers_are_told(self, fleet):
-    """Guards against a read by all for each one that comes or goes."""
+  async def test_new_servers_and_routers_are_announced(self, fleet):
+    """Guards against a read by all routers whenever one joins or leaves."""
     before = fleet.store.calls
     for number in range(4, 8):
       fleet.store.put(f"servers/a-{number}", _entry(number, "ready"))
@@ -482,30 +486,30 @@
       self.assertEqual(_LARGE + 4, len(gateway.accounts.members.lives))
 
   @in_fleet
-  async def test_a_change_told_late_takes_nothing_back(self, fleet):
-    """Guards against an older configuration put in the place of a newer."""
+  async def test_late_change_does_not_revert_a_newer_version(self, fleet):
+    """Guards against replacing a configuration by an older one."""
     fleet.store.put("op/config", platformcase.configuration(version=5))
     await anyio.sleep(1.0)
     gateway = next(g for g in fleet.routers.values() if not g.is_reader)
     newest = gateway.copies.find("op/config")
     older = newest.document | {"version": 4}
     change = deltas.diff(newest.document, older)
-    told = {"op/config": [deltas.digest(older), 2.0, change]}
-    gateway.notices._take(zlib.compress(json.dumps(told).encode()))
+    notice = {"op/config": [deltas.digest(older), 2.0, change]}
+    gateway.notices._handle_notice(zlib.compress(json.dumps(notice).encode()))
     self.assertEqual(5, gateway.copies.find("op/config").document["version"])
 
   @in_fleet
-  async def test_notice_from_the_future_is_not_relied_on(self, fleet):
-    """Guards against a router that reads nothing any more for one datagram."""
-    deaf = next(g for g in fleet.routers.values() if not g.is_reader)
-    copy = deaf.copies.find("servers/")
-    told = {"servers/": [copy.digest, -1e9], "x": ["d", 0], "y": ["d", -1e9]}
-    deaf.notices._take(zlib.compress(json.dumps(told).encode()))
+  async def test_notice_dated_in_the_future_is_not_trusted(self, fleet):
+    """Guards against a datagram after which a router never reads again."""
+    router = next(g for g in fleet.routers.values() if not g.is_reader)
+    copy = router.copies.find("servers/")
+    notice = {"servers/": [copy.digest, -1e9], "x": ["d", 0], "y": ["d", -1e9]}
+    router.notices._handle_notice(zlib.compress(json.dumps(notice).encode()))
     fleet.net.lose = lambda sender: True
-    await self._leave(fleet)
-    self.assertEqual(3, len(deaf.notices._heard))
+    await self._check_leaving_server(fleet)
+    self.assertEqual(3, len(router.notices._latest))
 
-  def test_notice_that_unpacks_to_too_much_is_nonsense(self):
-    """Guards against a datagram that takes a router past its memory."""
+  def test_notice_that_decompresses_to_too_much_is_malformed(self):
+    """Guards against a datagram that exhausts a router's memory."""
     for raw in (zlib.compress(b" " * 10_000_000), b"", b"[]", b"\x78\x9c"):
       self.assertRaises(ValueError, notices._decode, raw)
