--- a/mustardfall/membership/trackers.py
+++ b/mustardfall/membership/trackers.py
@@ -1,9 +1,9 @@
-"""Which router tracks which endpoint, and the datagrams to and from it.
+"""Assigns endpoints to routers that track them, and exchanges their datagrams.
 
 What a router sends for this grows with its own requests, not with the fleet:
-it asks those who track the few endpoints that a request may go to, and tells
-those who track the one that was chosen. Each endpoint is tracked by two, so
-that one may be gone.
+it queries the trackers of the few endpoints that a request may go to, and
+reports to the trackers of the chosen one. Each endpoint has two trackers, so
+that one may fail.
 """
 
 from collections.abc import Iterable
@@ -18,48 +18,49 @@
 from mustardfall.routing import tracking
 from mustardfall.util import clock as clock_lib
 
-_TRACKERS = 2
-"""Routers that track an endpoint; the first one is asked."""
-_ANSWER_S = 0.025
-"""How long answers are waited for. One comes in 1 to 5 ms; a host of half a
-core that is parsing a request takes 15."""
-_SILENT_S = 1.0
-"""A router that gave no answer is passed over for this long."""
+_TRACKER_COUNT = 2
+"""Routers that track an endpoint; the first of them is queried."""
+_ANSWER_TIMEOUT_S = 0.025
+"""How long to wait for answers. One usually takes 1 to 5 ms; on a host of half
+a core that is parsing a request it takes 15."""
+_AVOID_S = 1.0
+"""How long a router that gave no answer is queried only as a last resort."""
 
 
 class _Survey:
-  """Questions whose answers are still out."""
+  """A query to several trackers, and the answers received so far."""
 
-  def __init__(self, asked: set[str]) -> None:
-    self.missing = asked
-    """Endpoints that nothing was heard of."""
-    self.found: dict[str, tracking.Standing] = {}
+  def __init__(self, endpoints: set[str]) -> None:
+    self.missing = endpoints
+    """Endpoints without an answer."""
+    self.standings: dict[str, tracking.Standing] = {}
     self.done = anyio.Event()
 
-  def take(self, endpoint: str, standing: tracking.Standing) -> None:
-    """Takes one endpoint's answer in."""
+  def add(self, endpoint: str, standing: tracking.Standing) -> None:
+    """Adds the answer about one endpoint."""
     if endpoint not in self.missing:
       return
     self.missing.discard(endpoint)
-    self.found[endpoint] = standing
+    self.standings[endpoint] = standing
     if not self.missing:
       self.done.set()
 
 
 class TrackedRequest(NamedTuple):
-  """A request as those who track its endpoint know it."""
+  """Identifies a request to the trackers of its endpoint."""
 
   endpoint: str
   """The endpoint's life."""
   request: str
+  """The request's id, unique in the fleet."""
 
 
 class Trackers:
-  """Asks and tells the routers that track endpoints, and is one of them.
+  """Queries and updates the trackers of endpoints, and acts as one of them.
 
   Args:
-    members: who is up.
-    datagrams: carries questions, answers and notes.
+    members: the routers that are up.
+    datagrams: carries queries, answers and updates.
     clock: the time source.
   """
 
@@ -73,86 +74,86 @@
     self._datagrams = datagrams
     self._clock = clock
     self._tracker = tracking.Tracker()
-    self._numbers = itertools.count()
+    self._ids = itertools.count()
     self._surveys: dict[int, _Survey] = {}
-    self._silent_until: dict[str, float] = {}
-    datagrams.connect_with_sender(datagrams_lib.Kind.SURVEY, self._answer)
-    datagrams.connect(datagrams_lib.Kind.STANDING, self._take_answer)
-    datagrams.connect(datagrams_lib.Kind.TRACK, self._take_note)
+    self._avoided_until: dict[str, float] = {}
+    datagrams.connect_with_sender(datagrams_lib.Kind.SURVEY, self._handle_query)
+    datagrams.connect(datagrams_lib.Kind.STANDING, self._handle_answer)
+    datagrams.connect(datagrams_lib.Kind.TRACK, self._handle_update)
 
   @property
   def is_used(self) -> bool:
-    """Whether endpoints are tracked: in a small fleet all tell all."""
+    """Whether endpoints are tracked; a small fleet only sends load reports."""
     return self._members.is_large and self._datagrams.is_open
 
   def _trackers(self, endpoint: str) -> list[members_lib.Member]:
-    """Returns who tracks an endpoint, those that answer first."""
+    """Returns the trackers of an endpoint, those that answer before others."""
     now = self._clock.monotonic()
-    found = self._members.candidates(endpoint)[:_TRACKERS]
-    found.sort(key=lambda m: self._silent_until.get(m.life, 0.0) > now)
-    return found
+    trackers = self._members.candidates(endpoint)[:_TRACKER_COUNT]
+    trackers.sort(key=lambda m: self._avoided_until.get(m.life, 0.0) > now)
+    return trackers
 
   async def survey(
       self, endpoints: Iterable[str], prefix: str
   ) -> dict[str, tracking.Standing]:
-    """Returns how endpoints stand, as far as that is answered in time.
+    """Returns the standings of endpoints, as far as answers arrive in time.
 
     Args:
       endpoints: their lives.
-      prefix: the prefix of the request that is to be placed.
+      prefix: the prompt prefix of the request to be placed.
     """
     now = self._clock.monotonic()
     survey = _Survey(set(endpoints))
-    asked: dict[members_lib.Member, list[str]] = {}
+    endpoints_by_tracker: dict[members_lib.Member, list[str]] = {}
     for endpoint in sorted(survey.missing):
       tracker = self._trackers(endpoint)[0]
       if tracker.life == self._members.me.life:
-        survey.take(endpoint, self._tracker.stand(endpoint, prefix, now))
+        survey.add(endpoint, self._tracker.stand(endpoint, prefix, now))
       else:
-        asked.setdefault(tracker, []).append(endpoint)
-    if asked:
-      await self._ask(survey, asked, prefix)
-    return survey.found
+        endpoints_by_tracker.setdefault(tracker, []).append(endpoint)
+    if endpoints_by_tracker:
+      await self._query(survey, endpoints_by_tracker, prefix)
+    return survey.standings
 
-  async def _ask(
+  async def _query(
       self,
       survey: _Survey,
-      asked: dict[members_lib.Member, list[str]],
+      endpoints_by_tracker: dict[members_lib.Member, list[str]],
       prefix: str,
   ) -> None:
-    """Asks others and waits a moment for what they know."""
-    number = next(self._numbers)
-    self._surveys[number] = survey
+    """Queries other trackers and waits briefly for their answers."""
+    query_id = next(self._ids)
+    self._surveys[query_id] = survey
     try:
-      for tracker, endpoints in asked.items():
-        content = _encode([number, prefix, endpoints])
+      for tracker, endpoints in endpoints_by_tracker.items():
+        content = _encode([query_id, prefix, endpoints])
         self._datagrams.enqueue(datagrams_lib.Kind.SURVEY, content, tracker)
-      with anyio.move_on_after(_ANSWER_S):
+      with anyio.move_on_after(_ANSWER_TIMEOUT_S):
         await survey.done.wait()
     finally:
-      del self._surveys[number]
-    until = self._clock.monotonic() + _SILENT_S
-    for tracker, endpoints in asked.items():
+      del self._surveys[query_id]
+    until = self._clock.monotonic() + _AVOID_S
+    for tracker, endpoints in endpoints_by_tracker.items():
       if survey.missing.issuperset(endpoints):
-        self._silent_until[tracker.life] = until
+        self._avoided_until[tracker.life] = until
 
-  def _answer(self, raw: bytes, sender: str) -> None:
-    """Answers another router's question."""
-    number, prefix, endpoints = json.loads(raw)
+  def _handle_query(self, raw: bytes, sender: str) -> None:
+    """Answers another router's query."""
+    query_id, prefix, endpoints = json.loads(raw)
     now = self._clock.monotonic()
-    found = [
+    standings = [
         [endpoint, *self._tracker.stand(str(endpoint), str(prefix), now)]
         for endpoint in endpoints
     ]
-    content = _encode([int(number), found])
+    content = _encode([int(query_id), standings])
     self._datagrams.enqueue_to(datagrams_lib.Kind.STANDING, content, sender)
 
-  def _take_answer(self, raw: bytes) -> None:
-    number, found = json.loads(raw)
-    survey = self._surveys.get(number)
+  def _handle_answer(self, raw: bytes) -> None:
+    query_id, standings = json.loads(raw)
+    survey = self._surveys.get(query_id)
     if survey is None:
-      return  # it came too late
-    for endpoint, in_flight, reading_s, held, slowness, failures in found:
+      return  # the answer is late: the query has timed out
+    for endpoint, in_flight, reading_s, held, slowness, failures in standings:
       standing = tracking.Standing(
           int(in_flight),
           float(reading_s),
@@ -160,36 +161,36 @@
           float(slowness),
           float(failures),
       )
-      survey.take(endpoint, standing)
+      survey.add(endpoint, standing)
 
   def note_sent(
       self, endpoint: str, prefix: str, reading_s: float
   ) -> TrackedRequest:
-    """Tells that a request is on its way to an endpoint."""
-    request = f"{next(self._numbers):x}.{self._members.me.name}"
-    self._tell(["sent", endpoint, request, prefix, round(reading_s, 4)])
+    """Reports to the trackers that a request is being sent to an endpoint."""
+    request = f"{next(self._ids):x}.{self._members.me.name}"
+    self._send_update(["sent", endpoint, request, prefix, round(reading_s, 4)])
     return TrackedRequest(endpoint, request)
 
   def note_first(
       self, sent: TrackedRequest, expected_s: float, took_s: float
   ) -> None:
-    """Tells how long an endpoint's first token took."""
+    """Reports the expected and actual time to the first token."""
     times = [round(expected_s, 4), round(took_s, 4)]
-    self._tell(["first", sent.endpoint, *times])
+    self._send_update(["first", sent.endpoint, *times])
 
   def note_end(self, sent: TrackedRequest, failed: bool) -> None:
-    """Tells that a request has left an endpoint."""
-    self._tell(["end", sent.endpoint, sent.request, failed])
+    """Reports that a request has ended at an endpoint."""
+    self._send_update(["end", sent.endpoint, sent.request, failed])
 
-  def _tell(self, note: list) -> None:
-    content = _encode(note)
-    for tracker in self._trackers(note[1]):
+  def _send_update(self, update: list) -> None:
+    content = _encode(update)
+    for tracker in self._trackers(update[1]):
       if tracker.life == self._members.me.life:
-        self._take_note(content)
+        self._handle_update(content)
       else:
         self._datagrams.enqueue(datagrams_lib.Kind.TRACK, content, tracker)
 
-  def _take_note(self, raw: bytes) -> None:
+  def _handle_update(self, raw: bytes) -> None:
     step, endpoint, *facts = json.loads(raw)
     now = self._clock.monotonic()
     if step == "sent":
@@ -205,11 +206,11 @@
       raise ValueError(f"unknown step {step!r}")
 
   def prune(self) -> None:
-    """Drops what was noted of routers that are passed over no more."""
+    """Removes expired entries for routers that gave no answer."""
     now = self._clock.monotonic()
-    for life, until in list(self._silent_until.items()):
+    for life, until in list(self._avoided_until.items()):
       if until <= now:
-        del self._silent_until[life]
+        del self._avoided_until[life]
 
 
 def _encode(value: list) -> bytes:
--- a/mustardfall/membership/verdicts.py
+++ b/mustardfall/membership/verdicts.py
@@ -1,9 +1,11 @@
-"""Tells routers which requests end the endpoints that run them.
-
-A router that sees an endpoint end tells the few that judge the request, by
-datagram. Whoever finds that too many have ended tells all others at once, and
-writes it down in the KV, for routers that start later. Each router repeats what
-it knows to two others each second: datagrams are lost, and the KV may be away.
+"""Shares verdicts on requests that crash the endpoints that run them.
+
+A router that sees an endpoint crash reports the request that it was running, by
+datagram, to the few routers that count crashes for each request. A router that
+has counted too many for a request sends a verdict to all others at once, and
+stores it in the KV for routers that start later. Each router also gossips its
+verdicts to two others each second, since datagrams may be lost and the KV may
+be unavailable.
 """
 
 from collections.abc import Iterable
@@ -26,22 +28,22 @@
 logger = logging.getLogger(__name__)
 
 PREFIX = "quarantine/"
-_ROUND_S = 1.0
-"""Between two rounds of repeating what is known."""
-_TOLD = 2
-"""Routers told in a round. One of a fleet hears of as many in the mean."""
-_TOLD_AT_ONCE = 20
-"""Verdicts in one datagram; each takes some 60 bytes."""
-_MOST_CONTENT_BYTES = 16_384
-"""Of what a datagram unpacks to."""
-_MOST_NAME = 200
-"""Characters of a name that is told."""
-_TELL_AGAIN_S = 0.05
-"""News is told twice: one datagram in some hundreds is lost."""
-
-
-class _Written(NamedTuple):
-  """A verdict in the KV."""
+_GOSSIP_INTERVAL_S = 1.0
+"""Interval between two rounds of gossip."""
+_GOSSIP_FANOUT = 2
+"""Receivers in a round, and so the mean number of senders to each router."""
+_MAX_VERDICTS_PER_DATAGRAM = 20
+"""Each verdict takes some 60 bytes."""
+_MAX_UNPACKED_BYTES = 16_384
+"""Limit of a datagram's size after decompression."""
+_MAX_NAME_LENGTH = 200
+"""Limit of the length of received names, in characters."""
+_RESEND_DELAY_S = 0.05
+"""New verdicts are sent twice, as one datagram in some hundreds is lost."""
+
+
+class _StoredVerdict(NamedTuple):
+  """A verdict as stored in the KV."""
 
   fingerprint: str
   team: str
@@ -50,14 +52,14 @@
 
 
 class Verdicts:
-  """Tells and hears of suspected and quarantined requests.
+  """Sends and receives suspects (crashes) and verdicts (quarantined requests).
 
   Args:
-    table: what is known; kept current here.
-    members: who is up.
-    datagrams: carries notes.
-    notices: tells whether this router reads for the others.
-    kv: keeps verdicts for routers that start later.
+    table: this router's crash counts and verdicts; updated here.
+    members: the routers that are up.
+    datagrams: carries suspects and verdicts.
+    notices: determines whether this router is a reader of the KV.
+    kv: stores verdicts for routers that start later.
     clock: the time source.
   """
 
@@ -76,43 +78,44 @@
     self._notices = notices
     self._kv = kv
     self._clock = clock
-    self._news: list[quarantine.Verdict] = []
-    """Verdicts of this router that are not told and written yet."""
-    self._news_came = anyio.Event()
-    datagrams.connect(datagrams_lib.Kind.SUSPECT, self._take_suspect)
-    datagrams.connect(datagrams_lib.Kind.VERDICT, self._take_verdicts)
+    self._unsent: list[quarantine.Verdict] = []
+    """New verdicts of this router, not yet sent and stored."""
+    self._unsent_added = anyio.Event()
+    datagrams.connect(datagrams_lib.Kind.SUSPECT, self._handle_suspect)
+    datagrams.connect(datagrams_lib.Kind.VERDICT, self._handle_verdicts)
 
   def note_end(self, suspect: quarantine.Suspect) -> None:
-    """Notes that an endpoint ended while it ran a request of this router."""
+    """Records that an endpoint crashed while running a request."""
     content = json.dumps(suspect).encode()
-    for judge in self._judges(suspect.fingerprint):
+    for router in self._counting_routers(suspect.fingerprint):
       for _ in range(2):  # one datagram in some hundreds is lost
-        self._datagrams.enqueue(datagrams_lib.Kind.SUSPECT, content, judge)
-    self._judge(suspect)
+        self._datagrams.enqueue(datagrams_lib.Kind.SUSPECT, content, router)
+    self._count_crash(suspect)
 
   def note_success(self, fingerprint: str) -> None:
-    """Notes that an endpoint ran a request to its end."""
+    """Records that an endpoint completed a request; clears the request."""
     was_quarantined = bool(self._table.left_s(fingerprint))
     if not self._table.note_success(fingerprint):
       return
-    sound = quarantine.Verdict(fingerprint, "", 0.0)
+    cleared = quarantine.Verdict(fingerprint, "", 0.0)
     if was_quarantined:
-      self._publish(sound)
+      self._publish(cleared)
       return
-    # Dozens run at an endpoint that ends, and most succeed at the next one.
-    content = deltas.pack([sound])
-    for judge in self._judges(fingerprint):
-      self._datagrams.enqueue(datagrams_lib.Kind.VERDICT, content, judge)
-
-  def _judges(self, fingerprint: str) -> list[members_lib.Member]:
-    """Returns the other routers that count what ends under a request."""
+    # Not sent to all: an endpoint that crashes runs dozens of requests, most of
+    # which succeed at the next one.
+    content = deltas.pack([cleared])
+    for router in self._counting_routers(fingerprint):
+      self._datagrams.enqueue(datagrams_lib.Kind.VERDICT, content, router)
+
+  def _counting_routers(self, fingerprint: str) -> list[members_lib.Member]:
+    """Returns the other routers that count crashes for a request."""
     if not self._members.is_large:
       return self._members.others
     me = self._members.me.life
-    found = self._members.candidates(fingerprint)
-    return [member for member in found if member.life != me]
+    candidates = self._members.candidates(fingerprint)
+    return [member for member in candidates if member.life != me]
 
-  def _judge(self, suspect: quarantine.Suspect) -> None:
+  def _count_crash(self, suspect: quarantine.Suspect) -> None:
     if self._table.note_end(suspect):
       self._publish(
           quarantine.Verdict(
@@ -121,65 +124,73 @@
       )
 
   def _publish(self, verdict: quarantine.Verdict) -> None:
-    self._news.append(verdict)
-    self._news_came.set()
+    self._unsent.append(verdict)
+    self._unsent_added.set()
 
-  def _take_suspect(self, raw: bytes) -> None:
+  def _handle_suspect(self, raw: bytes) -> None:
     fingerprint, team, endpoint, ran_s = json.loads(raw)
-    _check(fingerprint, team, endpoint)
-    self._judge(quarantine.Suspect(fingerprint, team, endpoint, float(ran_s)))
-
-  def _take_verdicts(self, raw: bytes) -> None:
-    for fingerprint, team, left_s in deltas.unpack(raw, _MOST_CONTENT_BYTES):
-      _check(fingerprint, team)
+    _check_names(fingerprint, team, endpoint)
+    self._count_crash(
+        quarantine.Suspect(fingerprint, team, endpoint, float(ran_s))
+    )
+
+  def _handle_verdicts(self, raw: bytes) -> None:
+    for fingerprint, team, left_s in deltas.unpack(raw, _MAX_UNPACKED_BYTES):
+      _check_names(fingerprint, team)
       self._table.take(quarantine.Verdict(fingerprint, team, float(left_s)))
 
   async def run(self) -> None:
-    """Tells, writes and repeats verdicts until cancelled."""
+    """Sends, stores and gossips verdicts until cancelled."""
     async with anyio.create_task_group() as tasks:
-      tasks.start_soon(self._tell_news)
-      tasks.start_soon(self._repeat)
+      tasks.start_soon(self._send_new)
+      tasks.start_soon(self._gossip)
 
-  async def _tell_news(self) -> None:
+  async def _send_new(self) -> None:
     while True:
-      await self._news_came.wait()
-      self._news_came = anyio.Event()
-      news, self._news = self._news, []
+      await self._unsent_added.wait()
+      self._unsent_added = anyio.Event()
+      unsent, self._unsent = self._unsent, []
       for _ in range(2):
-        await self._tell(news, self._members.others)
-        await anyio.sleep(_TELL_AGAIN_S)
-      for verdict in news:
-        await self._write(verdict)
+        await self._send(unsent, self._members.others)
+        await anyio.sleep(_RESEND_DELAY_S)
+      for verdict in unsent:
+        await self._store(verdict)
 
-  async def _repeat(self) -> None:
-    """Repeats what is known to a few, each round to others."""
+  async def _gossip(self) -> None:
+    """Sends known verdicts to a few random routers in each round."""
     is_read = False
     while True:
-      await anyio.sleep(_ROUND_S)
+      await anyio.sleep(_GOSSIP_INTERVAL_S)
       if not is_read and self._notices.is_reader:
         is_read = await self._read()
       known = self._table.verdicts()
       others = self._members.others
       if known and others:
-        some = random.sample(known, min(_TOLD_AT_ONCE, len(known)))
-        told = random.sample(others, min(_TOLD, len(others)))
-        await self._tell(some, told)
+        sample = random.sample(
+            known, min(_MAX_VERDICTS_PER_DATAGRAM, len(known))
+        )
+        receivers = random.sample(others, min(_GOSSIP_FANOUT, len(others)))
+        await self._send(sample, receivers)
 
-  async def _tell(
+  async def _send(
       self,
       verdicts: list[quarantine.Verdict],
-      told: Iterable[members_lib.Member],
+      receivers: Iterable[members_lib.Member],
   ) -> None:
-    told = list(told)
-    for begin in range(0, len(verdicts), _TOLD_AT_ONCE):
-      content = deltas.pack(verdicts[begin : begin + _TOLD_AT_ONCE])
-      await self._datagrams.send(datagrams_lib.Kind.VERDICT, content, told)
+    receivers = list(receivers)
+    for start in range(0, len(verdicts), _MAX_VERDICTS_PER_DATAGRAM):
+      content = deltas.pack(
+          verdicts[start : start + _MAX_VERDICTS_PER_DATAGRAM]
+      )
+      await self._datagrams.send(datagrams_lib.Kind.VERDICT, content, receivers)
 
-  async def _write(self, verdict: quarantine.Verdict) -> None:
-    """Writes a verdict down, for as long as it holds."""
+  async def _store(self, verdict: quarantine.Verdict) -> None:
+    """Stores a verdict in the KV, under a lease for its remaining term."""
     key = PREFIX + verdict.fingerprint
     until_s = self._clock.wall().timestamp() + verdict.left_s
-    value = json.dumps(_Written(verdict.fingerprint, verdict.team, until_s))
+    value = json.dumps(
+        _StoredVerdict(verdict.fingerprint, verdict.team, until_s)
+    )
     try:
       lease = await self._kv.grant_lease(max(1, int(verdict.left_s)))
       await self._kv.put(key, value.encode(), lease)
@@ -190,32 +201,36 @@
       )
 
   async def _read(self) -> bool:
-    """Takes in what is written, and tells all; whether the KV answered."""
+    """Reads verdicts from the KV and sends new ones to all other routers.
+
+    Returns:
+      Whether the KV answered.
+    """
     try:
       _, records = await self._kv.get_prefix(PREFIX)
     except (errors.KvUnavailableError, errors.KvUnknownError) as exc:
       logger.info("verdicts not read", extra={"error": str(exc)})
       return False
     now_s = self._clock.wall().timestamp()
-    found = []
+    added = []
     for record in records:
       try:
-        written = _Written(*json.loads(record.value))
-        _check(written.fingerprint, written.team)
-        left_s = float(written.until_s) - now_s
+        stored = _StoredVerdict(*json.loads(record.value))
+        _check_names(stored.fingerprint, stored.team)
+        left_s = float(stored.until_s) - now_s
       except (TypeError, ValueError) as exc:
         extra = {"entry": record.key, "error": repr(exc)}
         logger.error("verdict unreadable", extra=extra)
         continue
-      verdict = quarantine.Verdict(written.fingerprint, written.team, left_s)
+      verdict = quarantine.Verdict(stored.fingerprint, stored.team, left_s)
       if left_s > 0 and self._table.take(verdict):
-        found.append(verdict)
-    await self._tell(found, self._members.others)
+        added.append(verdict)
+    await self._send(added, self._members.others)
     return True
 
 
-def _check(*names: str) -> None:
-  """Checks what was told by name; raises ValueError where it is no name."""
+def _check_names(*names: str) -> None:
+  """Checks received names; raises ValueError if one is invalid."""
   for name in names:
-    if not isinstance(name, str) or len(name) > _MOST_NAME:
-      raise ValueError("no name")
+    if not isinstance(name, str) or len(name) > _MAX_NAME_LENGTH:
+      raise ValueError("not a string, or too long for a name")
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -1,7 +1,8 @@
-"""All routers learn which requests end endpoints, whatever is lost.
+"""All routers learn which requests crash endpoints.
 
-Pattern: a request that ends each endpoint that runs it comes again at any of 68
-routers. Some datagrams are lost, the store may be away, and routers start anew.
+A request that crashes each endpoint that runs it is repeated at any of 68
+routers. Some datagrams are lost, the store may be unavailable, and routers
+restart.
 """
 
 import json
@@ -22,12 +23,12 @@
 from mustardfall.routing import quarantine
 
 _ROUTERS = 68
-_CONTACT_S = 3.0
-"""Within which all routers must know."""
+_DEADLINE_S = 3.0
+"""Time within which all routers must know a verdict."""
 
 
 class _Net:
-  """Carries datagrams between routers, all but some of them."""
+  """Carries datagrams between routers and loses some of them."""
 
   def __init__(self) -> None:
     self.lost = 0.0
@@ -37,7 +38,7 @@
 
 
 class _Port:
-  """Stands for `datagrams.Datagrams`."""
+  """Stands in for `datagrams.Datagrams`."""
 
   is_open = True
 
@@ -46,32 +47,32 @@
     self._handlers = {}
     net.ports[name] = self
 
-  def connect(self, kind, take):
-    self._handlers[kind] = take
+  def connect(self, kind, handler):
+    self._handlers[kind] = handler
 
   def enqueue(self, kind, content, member):
     self._net.sent += 1
-    is_there = member.name in self._net.ports
-    if is_there and self._net.random.random() >= self._net.lost:
+    is_up = member.name in self._net.ports
+    if is_up and self._net.random.random() >= self._net.lost:
       self._net.ports[member.name]._handlers[kind](content)
 
-  async def send(self, kind, content, told):
-    for member in told:
+  async def send(self, kind, content, receivers):
+    for member in receivers:
       self.enqueue(kind, content, member)
 
 
 class _Store:
-  """Keeps what was put; may be away."""
+  """A store that may be unavailable."""
 
   def __init__(self) -> None:
     self.records = {}
-    self.away = False
+    self.unavailable = False
     self.calls = 0
 
   async def _call(self):
     self.calls += 1
     await anyio.sleep(0.004)
-    if self.away:
+    if self.unavailable:
       raise errors.KvUnavailableError("away")
 
   async def grant_lease(self, ttl_s):
@@ -85,8 +86,8 @@
 
   async def get_prefix(self, prefix):
     await self._call()
-    found = [r for k, r in self.records.items() if k.startswith(prefix)]
-    return 1, found
+    records = [r for k, r in self.records.items() if k.startswith(prefix)]
+    return 1, records
 
 
 class _Fleet:
@@ -111,9 +112,9 @@
     view.update([_member(n) for n in range(_ROUTERS)])
     port = _Port(self.net, me.name)
     table = self.tables[number] = quarantine.Table(clock)
-    told = notices_lib.Notices(port, view, copies.Copies(clock), clock)
+    notices = notices_lib.Notices(port, view, copies.Copies(clock), clock)
     self.verdicts[number] = verdicts_lib.Verdicts(
-        table, view, port, told, self.store, clock
+        table, view, port, notices, self.store, clock
     )
     self._scopes[number] = anyio.CancelScope()
     self._tasks.start_soon(self._run, number)
@@ -127,8 +128,8 @@
       self._scopes[number].cancel()
       self.start(number)
 
-  async def end_endpoints(self, request: str, number: int, offset=0) -> None:
-    """Has endpoints end under a request, each seen by another router."""
+  async def crash_endpoints(self, request: str, number: int, offset=0) -> None:
+    """Crashes endpoints with a request, each seen by another router."""
     for n in range(offset, offset + number):
       suspect = quarantine.Suspect(request, "acme", f"{request}-{n}", 0.1)
       self.verdicts[(7 * n) % _ROUTERS].note_end(suspect)
@@ -144,17 +145,17 @@
 
 
 def in_fleet(test):
-  """Runs a test in virtual time beside the verdicts of all routers."""
+  """Runs a test in virtual time while the verdicts of all routers run."""
 
   def run(self):
-    async def day():
+    async def run_fleet():
       async with anyio.create_task_group() as tg:
         fleet = _Fleet(tg)
         await anyio.sleep(1.5)
         await test(self, fleet)
         tg.cancel_scope.cancel()
 
-    virtual.run(day)
+    virtual.run(run_fleet)
 
   run.__name__ = test.__name__
   return run
@@ -163,54 +164,60 @@
 class VerdictsTest(testtools.TestCase):
 
   @in_fleet
-  async def test_all_know_soon(self, fleet):
-    await fleet.end_endpoints("x", quarantine.LIMIT)
+  async def test_verdict_reaches_all(self, fleet):
+    await fleet.crash_endpoints("x", quarantine.LIMIT)
     self.assertEqual([], fleet.unaware("x"))
 
   @in_fleet
-  async def test_all_know_in_time_while_a_fifth_is_lost(self, fleet):
-    """Guards against a router that missed the datagrams and sends it on."""
+  async def test_verdict_reaches_all_while_a_fifth_of_datagrams_is_lost(
+      self, fleet
+  ):
+    """Guards against routers that missed the datagrams and run the request."""
     fleet.net.lost = 0.2
-    await fleet.end_endpoints("x", quarantine.LIMIT)
-    await anyio.sleep(_CONTACT_S)
+    await fleet.crash_endpoints("x", quarantine.LIMIT)
+    await anyio.sleep(_DEADLINE_S)
     self.assertEqual([], fleet.unaware("x"))
 
   @in_fleet
-  async def test_all_know_while_the_store_is_away(self, fleet):
-    fleet.store.away = True
-    await fleet.end_endpoints("x", quarantine.LIMIT)
-    await anyio.sleep(_CONTACT_S)
+  async def test_verdict_reaches_all_while_the_store_is_unavailable(
+      self, fleet
+  ):
+    fleet.store.unavailable = True
+    await fleet.crash_endpoints("x", quarantine.LIMIT)
+    await anyio.sleep(_DEADLINE_S)
     self.assertEqual([], fleet.unaware("x"))
 
   @in_fleet
-  async def test_all_know_again_after_all_have_died(self, fleet):
-    """Guards against a request that is let in again by a loss of power."""
-    await fleet.end_endpoints("x", quarantine.LIMIT)
+  async def test_verdict_reaches_all_after_all_restarted(self, fleet):
+    """Guards against a request that is admitted again after a loss of power."""
+    await fleet.crash_endpoints("x", quarantine.LIMIT)
     before = fleet.store.calls
     fleet.restart_all()
     self.assertEqual(_ROUTERS, len(fleet.unaware("x")))
-    await anyio.sleep(_CONTACT_S)
+    await anyio.sleep(_DEADLINE_S)
     self.assertEqual([], fleet.unaware("x"))
     self.assertTrue(fleet.store.calls - before <= 4, fleet.store.calls)
 
   @in_fleet
-  async def test_two_that_ended_say_nothing_to_the_others(self, fleet):
-    await fleet.end_endpoints("x", quarantine.LIMIT - 1)
-    await anyio.sleep(_CONTACT_S)
+  async def test_crashes_below_the_limit_give_no_verdict(self, fleet):
+    await fleet.crash_endpoints("x", quarantine.LIMIT - 1)
+    await anyio.sleep(_DEADLINE_S)
     self.assertEqual(_ROUTERS, len(fleet.unaware("x")))
 
   @in_fleet
-  async def test_request_that_succeeds_is_let_in_again_everywhere(self, fleet):
-    await fleet.end_endpoints("x", quarantine.LIMIT)
+  async def test_request_that_succeeds_is_admitted_again_everywhere(
+      self, fleet
+  ):
+    await fleet.crash_endpoints("x", quarantine.LIMIT)
     fleet.verdicts[11].note_success("x")
     await anyio.sleep(0.3)
     self.assertEqual(_ROUTERS, len(fleet.unaware("x")))
-    await anyio.sleep(_CONTACT_S)
+    await anyio.sleep(_DEADLINE_S)
     self.assertEqual(_ROUTERS, len(fleet.unaware("x")))
 
   @in_fleet
-  async def test_those_that_ran_beside_cost_little(self, fleet):
-    """Guards against calls to the store for all that ran where one ended."""
+  async def test_other_requests_on_a_crashed_endpoint_cost_little(self, fleet):
+    """Guards against a store call for every request on a crashed endpoint."""
     for number in range(24):
       suspect = quarantine.Suspect(f"beside{number}", "acme", "e", 0.5)
       fleet.verdicts[number].note_end(suspect)
@@ -220,22 +227,22 @@
     await anyio.sleep(1.5)
     self.assertEqual(calls, fleet.store.calls)
     self.assertTrue(fleet.net.sent - sent <= 3 * 24, fleet.net.sent - sent)
-    await fleet.end_endpoints("beside1", quarantine.LIMIT - 1, offset=20)
+    await fleet.crash_endpoints("beside1", quarantine.LIMIT - 1, offset=20)
     self.assertEqual(_ROUTERS, len(fleet.unaware("beside1")))
 
   @in_fleet
-  async def test_unreadable_entries_hide_no_other(self, fleet):
-    await fleet.end_endpoints("x", quarantine.LIMIT)
+  async def test_malformed_entries_are_skipped(self, fleet):
+    await fleet.crash_endpoints("x", quarantine.LIMIT)
     for number, value in enumerate((b"", b"3", b"[1]", b"[1, 2, {}]", b"\xff")):
       key = f"{verdicts_lib.PREFIX}{number}"
       fleet.store.records[key] = protocol.Record(key, value, 1, 0)
     fleet.restart_all()
-    await anyio.sleep(_CONTACT_S)
+    await anyio.sleep(_DEADLINE_S)
     self.assertEqual([], fleet.unaware("x"))
 
   @in_fleet
-  async def test_what_is_repeated_does_not_grow_with_the_fleet(self, fleet):
-    await fleet.end_endpoints("x", quarantine.LIMIT)
+  async def test_gossip_does_not_grow_with_the_fleet(self, fleet):
+    await fleet.crash_endpoints("x", quarantine.LIMIT)
     await anyio.sleep(1.0)
     before = fleet.net.sent
     await anyio.sleep(10.0)
@@ -245,4 +252,6 @@
   def test_verdicts_are_small(self):
     verdict = quarantine.Verdict("f" * 24, "team4711", 599.9)
     each = len(json.dumps(verdict))
-    self.assertTrue(each * verdicts_lib._TOLD_AT_ONCE <= 1_300, each)
+    self.assertTrue(
+        each * verdicts_lib._MAX_VERDICTS_PER_DATAGRAM <= 1_300, each
+    )
