--- a/mustardfall/kv/writer.py
+++ b/mustardfall/kv/writer.py
@@ -351,10 +351,10 @@
   async def _read(self, keys: list[str]) -> None:
     if not keys:
       return
-    found = await self._kv.get_many(keys)
+    records = await self._kv.get_many(keys)
     self.counts["reads"] += 1
     for key in keys:
-      self._cache_record(key, found.get(key))
+      self._cache_record(key, records.get(key))
 
   def _plan(
       self, batch: list[_Submission], fresh: set[str]
@@ -396,9 +396,9 @@
         self._cache_value(key, _CachedValue(value, result.revision))
       return True
     self.counts["conflicts"] += 1
-    found = {record.key: record for record in result.records}
+    records = {record.key: record for record in result.records}
     for key in values:
-      self._cache_record(key, found.get(key))
+      self._cache_record(key, records.get(key))
     return False
 
   def _cache_record(self, key: str, record: protocol.Record | None) -> None:
--- a/tests/test_slow_links.py
+++ b/tests/test_slow_links.py
@@ -1,8 +1,7 @@
-"""A large configuration reaches hosts whose links carry 5 Mbit/s.
+"""A large configuration reaches hosts with links of 5 Mbit/s.
 
-Pattern: the operators add some 1,500 routes at once. The document then takes
-longer to transfer than an answer of the store may take to begin, and every
-later version of it does, too.
+The operators add some 1,500 routes at once. From then on, the transfer of each
+version takes longer than the timeout for the start of the store's answer.
 """
 
 import base64
@@ -25,22 +24,22 @@
 _ROUTES = 1_520
 _LINK_BYTES_PER_S = 625_000
 _STEP_S = 0.02
-_PATIENCE_S = 3.0
-"""A configuration must be in force by then."""
+_DEADLINE_S = 3.0
+"""Time within which a configuration must be in force."""
 
 
 def grown_configuration(version: int = 2) -> dict:
-  """Returns a configuration of as many routes as a large growth brings."""
-  found = platformcase.configuration(version=version)
-  found["routes"] += [
+  """Returns a configuration after the addition of many routes."""
+  document = platformcase.configuration(version=version)
+  document["routes"] += [
       platformcase.route(f"r{n}", f"/team{n}/tail{n}/", "safe")
       for n in range(_ROUTES)
   ]
-  return found
+  return document
 
 
 class _SlowStore:
-  """Answers each call with one page, as fast as a slow link carries it."""
+  """Answers each call with one page, at the rate of a slow link."""
 
   def __init__(self) -> None:
     item = {
@@ -73,14 +72,19 @@
           await stream.send(self._body[begin : begin + step])
         await anyio.sleep_forever()
       except anyio.BrokenResourceError:
-        return  # the caller gave up
+        return  # the caller closed the connection
 
 
 class SlowLinkTest(testtools.TestCase):
 
   def _read(self, read, stops_after=None):
-    """Returns what `read(store)` does, within the time for a change."""
-    found = []
+    """Returns the result of `read(store)`; fails after `_DEADLINE_S`.
+
+    Args:
+      read: called with a client of the slow store.
+      stops_after: bytes after which the store stops sending; None: never.
+    """
+    results = []
 
     async def _main():
       slow, port = _SlowStore(), fleet.free_port()
@@ -94,12 +98,12 @@
       async with anyio.create_task_group() as tg:
         tg.start_soon(slow.serve, port)
         await anyio.sleep(0.05)
-        with anyio.fail_after(_PATIENCE_S):
-          found.append(await read(store))
+        with anyio.fail_after(_DEADLINE_S):
+          results.append(await read(store))
         tg.cancel_scope.cancel()
 
     anyio.run(_main)
-    return found[0]
+    return results[0]
 
   def test_document_that_takes_long_to_transfer_is_read(self):
     """Guards against routers that never learn of a large configuration."""
@@ -113,12 +117,12 @@
     document = json.loads(events[0].record.value)
     self.assertEqual(_ROUTES + 4, len(document["routes"]))
 
-  def test_answer_that_stops_on_the_way_is_given_up(self):
-    """Guards against waiting for the rest on a connection gone silent."""
+  def test_answer_that_stops_midway_fails(self):
+    """Guards against waiting for ever on a connection that went silent."""
     self.assertTrue(self._read(_expect_failure, stops_after=50_000))
 
-  def test_answer_that_drips_is_given_up(self):
-    """Guards against a call that one byte after the other keeps for ever."""
+  def test_answer_that_trickles_fails(self):
+    """Guards against a call kept open for ever by single bytes."""
     with mock.patch.object(calls, "_MOST_TRANSFER_S", 0.3):
       self.assertTrue(self._read(_expect_failure))
 
--- a/tests/test_writer.py
+++ b/tests/test_writer.py
@@ -1,4 +1,4 @@
-"""The batch writer when the KV is away, and when it ends."""
+"""The batch writer under contention, without the KV, and when it stops."""
 
 import anyio
 import testtools
@@ -18,12 +18,12 @@
   return writer_lib.Writer(kv, config, clock_lib.SystemClock())
 
 
-class EndTest(testtools.TestCase):
+class StopTest(testtools.TestCase):
 
-  def test_waiting_under_a_shield_ends_with_the_writer(self):
-    # A router stops while a grant is asked of the KV. The grant is waited
-    # for under a shield, so that its tokens are not lost; when the writer
-    # ends first, the wait must end too, or the process never exits.
+  def test_shielded_wait_ends_with_the_writer(self):
+    # A router stops while it requests a grant from the KV. It waits in a
+    # shielded scope, so that the granted tokens are not lost. If the writer
+    # stops first, the wait must end too, or the process never exits.
     async def go():
       kv, server = kvfake.make()
       server.change_faults({"down": True})
@@ -47,12 +47,12 @@
     anyio.run(go)
 
 
-class AwayTest(testtools.TestCase):
+class UnavailableTest(testtools.TestCase):
 
-  def test_request_does_not_wait_out_the_writers_pause(self):
-    # The KV does not take a batch and the writer pauses. A request that
-    # needs tokens in that pause must hear "no" now: queued, it would wait
-    # for seconds and then be refused all the same.
+  def test_submit_fails_at_once_while_the_writer_pauses(self):
+    # The writer pauses after a failed batch. A request that needs tokens
+    # during the pause must be refused at once: queued, it would wait for
+    # seconds and then most likely be refused as well.
     async def go():
       kv, server = kvfake.make()
       server.change_faults({"down": True})
@@ -74,7 +74,7 @@
 
 
 class _BusyStore:
-  """A KV that applies each call halfway through its 4 ms."""
+  """A KV whose calls take 4 ms and take effect halfway through."""
 
   def __init__(self) -> None:
     self.calls = 0
@@ -87,9 +87,9 @@
 
   async def get_many(self, keys):
     await self._arrive()
-    found = {k: self._records[k] for k in keys if k in self._records}
+    matching = {k: self._records[k] for k in keys if k in self._records}
     await anyio.sleep(0.002)
-    return found
+    return matching
 
   async def txn(self, compares, success, failure=None):
     del failure
@@ -103,8 +103,8 @@
       record = self._records.get(compare.key)
       if (record.mod_revision if record else 0) != compare.expected:
         records = [self._records.get(c.key) for c in compares]
-        found = [record for record in records if record is not None]
-        return protocol.TxnResult(False, 0, found)
+        matching = [record for record in records if record is not None]
+        return protocol.TxnResult(False, 0, matching)
     self._revision += 1
     for put in success:
       self._records[put.key] = protocol.Record(
@@ -114,18 +114,18 @@
 
 
 class ContentionTest(testtools.TestCase):
-  """All routers write the same few budgets, as after all lost power."""
+  """All routers write the same few budgets, as after a loss of power."""
 
   _ROUTERS = 68
   _BUDGETS = 24
   _EACH = 4
-  """Budgets that a router changes at once."""
-  _CALL_S = 0.6
-  """How long other routers wait for what is written here."""
+  """Budgets that each router changes at once."""
+  _TIMEOUT_S = 0.6
+  """Timeout of other routers that wait for these writes."""
 
   def _write_all(self):
-    """Returns what became of each change, and the seconds that it took."""
-    store, found = _BusyStore(), []
+    """Returns the store, and each change's outcome and duration in seconds."""
+    store, outcomes = _BusyStore(), []
 
     async def _submit(writer, key, change):
       began = anyio.current_time()
@@ -134,9 +134,9 @@
         outcome = "written"
       except (errors.KvUnavailableError, errors.KvUnknownError) as exc:
         outcome = repr(exc)
-      found.append((outcome, anyio.current_time() - began))
+      outcomes.append((outcome, anyio.current_time() - began))
 
-    async def _day():
+    async def _run():
       async with anyio.create_task_group() as tg:
         async with anyio.create_task_group() as routers:
           for number in range(self._ROUTERS):
@@ -150,13 +150,13 @@
               routers.start_soon(_submit, writer, key, change)
         tg.cancel_scope.cancel()
 
-    virtual.run(_day)
-    return store, found
+    virtual.run(_run)
+    return store, outcomes
 
   def test_many_that_write_the_same_budgets_all_get_through(self):
-    """Guards against grants of the dead that are reviewed seconds later."""
-    store, found = self._write_all()
-    failed = [outcome for outcome, _ in found if outcome != "written"]
+    """Guards against reviews of dead routers' grants that take seconds."""
+    store, outcomes = self._write_all()
+    failed = [outcome for outcome, _ in outcomes if outcome != "written"]
     self.assertEqual([], failed)
-    slowest = max(took_s for _, took_s in found)
-    self.assertTrue(slowest <= self._CALL_S, slowest)
+    slowest = max(took_s for _, took_s in outcomes)
+    self.assertTrue(slowest <= self._TIMEOUT_S, slowest)
