--- a/mustardfall/kv/writer.py
+++ b/mustardfall/kv/writer.py
@@ -178,7 +178,8 @@
   async def _throttle(self) -> None:
     """Waits until the next transaction may start.
 
-    That is `interval_s` after the last one when callers wait, else `linger_s`.
+    That is `interval_s` after the last one if callers wait or `flush` was
+    called, else `linger_s`.
     """
     while True:
       since = self._clock.monotonic() - self._last_commit
--- a/mustardfall/membership/members.py
+++ b/mustardfall/membership/members.py
@@ -194,11 +194,12 @@
     self._suspected[life] = now + _SUSPECT_S
 
   def has_gone(self, life: str) -> bool:
-    """Whether `life` is dead: replaced, or absent for the whole grace period.
+    """Whether `life` was replaced, or absent for the whole grace period.
 
     A host runs one router, so a life is dead as soon as a later life of the
-    same router has registered. This holds only for lives that were once in the
-    list: an unknown life may be a new one that has not been listed yet.
+    same router has registered, without waiting for the grace period. This holds
+    only for lives that were once in the list: an unknown life may be a new one
+    that is not listed yet.
     """
     if life in self._replaced and life not in self._lives:
       return True
--- a/mustardfall/membership/notices.py
+++ b/mustardfall/membership/notices.py
@@ -111,7 +111,7 @@
     while position >= _READERS:
       position = (position - _READERS) // _RELAY_FANOUT
       candidates.append(ranked[position])
-    # The last one is a reader, which has read the change; so has the other reader.
+    # The last one is a reader and has read the change; so has the other reader.
     candidates = [
         *candidates[: _MAX_RELAY_SOURCES - 1],
         *candidates[-1:],
--- a/mustardfall/membership/trackers.py
+++ b/mustardfall/membership/trackers.py
@@ -87,7 +87,7 @@
     return self._members.is_large and self._datagrams.is_open
 
   def _trackers(self, endpoint: str) -> list[members_lib.Member]:
-    """Returns the trackers of an endpoint, those that answer before others."""
+    """Returns the trackers of an endpoint, those that gave no answer last."""
     now = self._clock.monotonic()
     trackers = self._members.candidates(endpoint)[:_TRACKER_COUNT]
     trackers.sort(key=lambda m: self._avoided_until.get(m.life, 0.0) > now)
