--- a/mustardfall/api/calls.py
+++ b/mustardfall/api/calls.py
@@ -148,7 +148,7 @@
       row.awaiting.pop(id(self), None)
       self.router.scheduler.release(row, self._want)
 
-  def note_first_token(self, steer: bool = True) -> None:
+  def note_first_token(self, adapt_limit: bool = True) -> None:
     """Notes the time to first token, for the metrics and the limits.
 
     Args:
@@ -162,9 +162,9 @@
     self.router.instruments.ttft.record(
         now - self._started, attributes(self.entry)
     )
-    if steer and self.row is not None:
+    if adapt_limit and self.row is not None:
       self.row.awaiting.pop(id(self), None)
-      self.router.endpoints.steer(self.row, now - self._sent, now)
+      self.router.endpoints.adapt_limit(self.row, now - self._sent, now)
 
   def settle(self, used: int | None, end: End) -> int:
     """Bills `used` tokens (the whole reservation when None), once.
--- a/mustardfall/api/chat.py
+++ b/mustardfall/api/chat.py
@@ -241,7 +241,7 @@
   finally:
     with anyio.CancelScope(shield=True):
       await reply.aclose()
-  call.note_first_token(steer=False)
+  call.note_first_token(adapt_limit=False)
   billed = call.settle(used, calls.End.COMPLETED)
   await call.record(idempotency.State.RAN)
   return responses.JSONResponse(
--- a/mustardfall/routing/endpoints.py
+++ b/mustardfall/routing/endpoints.py
@@ -203,7 +203,7 @@
         ),
     )
 
-  def steer(self, row: Row, first_token_s: float, now: float) -> None:
+  def adapt_limit(self, row: Row, first_token_s: float, now: float) -> None:
     """Moves a row's limit by how soon a first token came.
 
     Additive increase and multiplicative decrease: routers that share an
@@ -255,7 +255,7 @@
       if row.awaiting:
         waited = now - min(row.awaiting.values())
         if waited > self._config.target_s:
-          self.steer(row, waited, now)
+          self.adapt_limit(row, waited, now)
 
 
 def _started_again(row: Row, host: Host) -> bool:
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -110,16 +110,16 @@
     row = table.rows["e"]
     for now, first_token_s in enumerate(times):
       row.in_flight = int(row.limit)
-      table.steer(row, first_token_s, float(now))
+      table.adapt_limit(row, first_token_s, float(now))
       self.assertTrue(1.0 <= row.limit <= 64.0)
 
   def test_limit_falls_fast_and_rises_slowly(self):
     _, table = _make(limit=10.0)
     row = table.rows["e"]
-    table.steer(row, 2.0, 1.0)
+    table.adapt_limit(row, 2.0, 1.0)
     self.assertEqual(8.0, row.limit)
     row.in_flight = 8
-    table.steer(row, 0.1, 2.0)
+    table.adapt_limit(row, 0.1, 2.0)
     self.assertAlmostEqual(8.125, row.limit)
 
 
