--- a/mustardfall/bench/virtual/engines.py
+++ b/mustardfall/bench/virtual/engines.py
@@ -235,7 +235,7 @@
     sent.place.row.reading_s -= sent.place.reading_s
     took_s = now - sent.sent_at
     self._times.setdefault(sent.kind.name, []).append((sent.tokens, took_s))
-    router.table.learn(sent.place.row, sent.place.answer_s, took_s)
+    router.table.update_slowness(sent.place.row, sent.place.answer_s, took_s)
     self._tell(self, router, "first", sent, now)
     self.later(now + _STREAM_S, lambda at: self._end(router, sent, at))
 
--- a/mustardfall/proxy/placer.py
+++ b/mustardfall/proxy/placer.py
@@ -48,7 +48,7 @@
     if not self._is_generation:
       return
     place = self._place
-    self._directory.endpoints.learn(place.row, place.answer_s, took_s)
+    self._directory.endpoints.update_slowness(place.row, place.answer_s, took_s)
     if self._sent is not None:
       self._trackers.note_first(self._sent, place.answer_s, took_s)
 
--- a/mustardfall/routing/endpoints.py
+++ b/mustardfall/routing/endpoints.py
@@ -226,7 +226,9 @@
       row.prefixes.pop(prefix, None)
       row.prefixes[prefix] = now
 
-  def learn(self, row: Row, expected_s: float, first_token_s: float) -> None:
+  def update_slowness(
+      self, row: Row, expected_s: float, first_token_s: float
+  ) -> None:
     """Learns how an endpoint's time compares with what was expected.
 
     Some are a third slower than others, and one in trouble is several
--- a/tests/test_loads.py
+++ b/tests/test_loads.py
@@ -214,7 +214,7 @@
     prompt = placement.Prompt("p", 13_300, 3_720)
     first = placement.choose(rows, prompt, "dc").row
     for _ in range(20):
-      router.table.learn(first, 0.06, 0.3)
+      router.table.update_slowness(first, 0.06, 0.3)
     self.assertTrue(first.slowness > 4.0, first.slowness)
     for row in rows:
       row.reading_s = 0.1
