--- a/mustardfall/bench/virtual/engines.py
+++ b/mustardfall/bench/virtual/engines.py
@@ -222,7 +222,7 @@
     name = f"{now:.6f}"
     sent = _Sent(kind, sum(prompt[1:]), prompt, place, name, sent_at=now)
     place.row.in_flight += 1
-    place.row.reading_s += place.reading_s
+    place.row.prefill_s += place.prefill_s
     first_at, shared = self.engines[place.row.name].read(prompt, now)
     self._shared_asked += prompt.shared_tokens
     if prompt.prefix in self._known:
@@ -232,7 +232,7 @@
     self.later(first_at, lambda at: self._first(router, sent, at))
 
   def _first(self, router: _Router, sent: _Sent, now: float) -> None:
-    sent.place.row.reading_s -= sent.place.reading_s
+    sent.place.row.prefill_s -= sent.place.prefill_s
     took_s = now - sent.sent_at
     self._times.setdefault(sent.kind.name, []).append((sent.tokens, took_s))
     router.table.update_slowness(sent.place.row, sent.place.answer_s, took_s)
@@ -298,7 +298,7 @@
   first, _ = placement.candidates(
       router.rows, prompt, router.datacentre, player.rng()
   )
-  held_s = placement.reading_s(True, prompt)
+  held_s = placement.prefill_s(True, prompt)
   return placement.Place(first[0].row, held_s, held_s)
 
 
@@ -309,7 +309,7 @@
   del now
   rows = player.rng().sample(router.rows, 2)
   row = min(rows, key=lambda r: placement.wait_s(r, prompt))
-  own_s = placement.reading_s(False, prompt)
+  own_s = placement.prefill_s(False, prompt)
   return placement.Place(row, own_s, placement.wait_s(row, prompt) + own_s)
 
 
@@ -371,7 +371,7 @@
   life = sent.place.row.life
   if step == "sent":
     player.tracker.note_sent(
-        life, sent.name, sent.prompt.prefix, sent.place.reading_s, now
+        life, sent.name, sent.prompt.prefix, sent.place.prefill_s, now
     )
   elif step == "first":
     took_s = now - sent.sent_at
--- a/mustardfall/membership/trackers.py
+++ b/mustardfall/membership/trackers.py
@@ -152,20 +152,20 @@
     survey = self._surveys.get(number)
     if survey is None:
       return  # it came too late
-    for endpoint, in_flight, reading_s, held, slowness, failures in found:
+    for endpoint, in_flight, prefill_s, held, slowness, failures in found:
       standing = tracking.Standing(
           int(in_flight),
-          float(reading_s),
+          float(prefill_s),
           bool(held),
           float(slowness),
           float(failures),
       )
       survey.take(endpoint, standing)
 
-  def note_sent(self, endpoint: str, prefix: str, reading_s: float) -> Sent:
+  def note_sent(self, endpoint: str, prefix: str, prefill_s: float) -> Sent:
     """Tells that a request is on its way to an endpoint."""
     request = f"{next(self._numbers):x}.{self._members.me.name}"
-    self._tell(["sent", endpoint, request, prefix, round(reading_s, 4)])
+    self._tell(["sent", endpoint, request, prefix, round(prefill_s, 4)])
     return Sent(endpoint, request)
 
   def note_first(self, sent: Sent, expected_s: float, took_s: float) -> None:
@@ -189,8 +189,8 @@
     step, endpoint, *facts = json.loads(raw)
     now = self._clock.monotonic()
     if step == "sent":
-      request, prefix, reading_s = facts
-      self._tracker.note_sent(endpoint, request, prefix, float(reading_s), now)
+      request, prefix, prefill_s = facts
+      self._tracker.note_sent(endpoint, request, prefix, float(prefill_s), now)
     elif step == "first":
       expected_s, took_s = facts
       self._tracker.note_first(endpoint, float(expected_s), float(took_s), now)
--- a/mustardfall/proxy/job.py
+++ b/mustardfall/proxy/job.py
@@ -74,11 +74,11 @@
   def __init__(self, row: endpoints.Row, seconds: float) -> None:
     self._row = row
     self._seconds = seconds
-    row.reading_s += seconds
+    row.prefill_s += seconds
 
   def end(self) -> None:
     """Takes it off: the first token has come, or the request has gone."""
-    self._row.reading_s -= self._seconds
+    self._row.prefill_s -= self._seconds
     self._seconds = 0.0
 
 
--- a/mustardfall/proxy/placer.py
+++ b/mustardfall/proxy/placer.py
@@ -35,13 +35,13 @@
     self._directory = directory
     self._load_share = load_share
     self._trackers = trackers
-    self._reading = job_lib.Reading(place.row, place.reading_s)
+    self._reading = job_lib.Reading(place.row, place.prefill_s)
     place.row.in_flight += 1
     prefix = job_lib.prompt_of(job.request).prefix
     load_share.note_sent(place.row.life, prefix)
     self._sent: trackers_lib.Sent | None = None
     if trackers.is_used:
-      self._sent = trackers.note_sent(place.row.life, prefix, place.reading_s)
+      self._sent = trackers.note_sent(place.row.life, prefix, place.prefill_s)
 
   def note_first(self, took_s: float) -> None:
     """Notes how long the head of the answer took, or did not come."""
--- a/mustardfall/routing/endpoints.py
+++ b/mustardfall/routing/endpoints.py
@@ -70,7 +70,7 @@
   """Requests at work there, of all routers, as it last said; decays."""
   waiting: float = 0.0
   """Requests that waited there, as it last said; decays."""
-  reading_s: float = 0.0
+  prefill_s: float = 0.0
   """Seconds of prompts it has still to read for this router."""
   others_in_flight: int = 0
   """Requests that other routers have in flight there, as they tell."""
--- a/mustardfall/routing/loads.py
+++ b/mustardfall/routing/loads.py
@@ -22,7 +22,7 @@
   """What one router has at one endpoint."""
 
   in_flight: int
-  reading_s: float
+  prefill_s: float
   """Seconds of prompts that the endpoint has still to read for it."""
 
 
@@ -42,7 +42,7 @@
 def encode(report: Report) -> bytes:
   """Returns a report as it is sent."""
   rows = {
-      name: [load.in_flight, round(load.reading_s, 4)]
+      name: [load.in_flight, round(load.prefill_s, 4)]
       for name, load in report.loads.items()
   }
   whole = [report.sender, report.number, rows, report.prefixes]
@@ -57,8 +57,8 @@
   """
   sender, number, rows, prefixes = json.loads(raw)
   loads = {
-      name: Load(int(in_flight), float(reading_s))
-      for name, (in_flight, reading_s) in rows.items()
+      name: Load(int(in_flight), float(prefill_s))
+      for name, (in_flight, prefill_s) in rows.items()
   }
   sent = {name: list(ids) for name, ids in prefixes.items()}
   return Report(str(sender), int(number), loads, sent)
@@ -104,7 +104,7 @@
     """Returns what this router has at the endpoints now."""
     self._number += 1
     loads = {
-        row.life: Load(row.in_flight, max(0.0, row.reading_s))
+        row.life: Load(row.in_flight, max(0.0, row.prefill_s))
         for row in self._table.rows.values()
         if row.in_flight
     }
@@ -134,7 +134,7 @@
       row = self._table.find_life(life)
       if row is not None:
         row.others_in_flight += sign * load.in_flight
-        row.others_reading_s += sign * load.reading_s
+        row.others_reading_s += sign * load.prefill_s
 
   def add_up(self, now: float) -> None:
     """Adds up what is fresh; called each tick.
--- a/mustardfall/routing/placement.py
+++ b/mustardfall/routing/placement.py
@@ -71,7 +71,7 @@
   """The endpoint chosen, and the times that are expected there."""
 
   row: endpoints.Row
-  reading_s: float
+  prefill_s: float
   """How long it reads this prompt."""
   answer_s: float
   """When it should begin to answer, were it as quick as most."""
@@ -83,7 +83,7 @@
   # report takes off again, until the next tick.
   in_flight = row.in_flight + max(0, row.others_in_flight)
   each_s = _DECODING_S if prompt.prefix else _RUNNING_S
-  reading = row.reading_s + max(0.0, row.others_reading_s)
+  reading = row.prefill_s + max(0.0, row.others_reading_s)
   queue = max(reading, row.waiting * _WAITING_S)
   return max(in_flight, row.running) * each_s + queue
 
@@ -111,7 +111,7 @@
   """
   far = 0.0 if row.datacentre == datacentre else _FAR_S
   failed = row.failures * _FAILURE_S
-  read_s = reading_s(holds(row, rank, prompt), prompt)
+  read_s = prefill_s(holds(row, rank, prompt), prompt)
   if not held:
     far += min(rank, _MOST_RANKS) * _RANK_S
   elif not holds(row, rank, prompt):
@@ -119,7 +119,7 @@
   return row.slowness * (wait_s(row, prompt) + read_s) + far + failed
 
 
-def reading_s(held: bool, prompt: Prompt) -> float:
+def prefill_s(held: bool, prompt: Prompt) -> float:
   """Returns the seconds that reading a prompt takes an endpoint."""
   cached = prompt.shared_tokens if held else 0
   tokens = prompt.own_tokens + prompt.shared_tokens - cached
@@ -182,7 +182,7 @@
   if not costs:
     return None
   best = found[min(costs)[1]]
-  own_s = reading_s(_is_held(best, standings, prompt), prompt)
+  own_s = prefill_s(_is_held(best, standings, prompt), prompt)
   return Place(best.row, own_s, tracked_wait_s(best, standings, prompt) + own_s)
 
 
@@ -203,7 +203,7 @@
   if standing is None:
     return wait_s(one.row, prompt)
   each_s = _DECODING_S if prompt.prefix else _RUNNING_S
-  return standing.in_flight * each_s + standing.reading_s
+  return standing.in_flight * each_s + standing.prefill_s
 
 
 def _tracked_cost_s(
@@ -218,7 +218,7 @@
   if standing is None:
     return cost_s(one.row, one.rank, held, prompt, datacentre)
   is_held = _is_held(one, standings, prompt)
-  read_s = reading_s(is_held, prompt)
+  read_s = prefill_s(is_held, prompt)
   cost = 0.0 if one.row.datacentre == datacentre else _FAR_S
   if not held:
     cost += min(one.rank, _MOST_RANKS) * _RANK_S
@@ -232,7 +232,7 @@
 
 def is_busy(place: Place, prompt: Prompt) -> bool:
   """Whether more candidates should be weighed before a request waits there."""
-  return place.answer_s - place.reading_s > _BUSY_S and bool(prompt.prefix)
+  return place.answer_s - place.prefill_s > _BUSY_S and bool(prompt.prefix)
 
 
 def choose(
@@ -249,7 +249,7 @@
   if best is None:
     return None
   rank, row = best
-  own_s = reading_s(holds(row, rank, prompt), prompt)
+  own_s = prefill_s(holds(row, rank, prompt), prompt)
   return Place(row, own_s, wait_s(row, prompt) + own_s)
 
 
--- a/mustardfall/routing/tracking.py
+++ b/mustardfall/routing/tracking.py
@@ -37,7 +37,7 @@
 
   in_flight: int
   """Requests there, of all routers."""
-  reading_s: float
+  prefill_s: float
   """Seconds until it has read all prompts that it was sent."""
   held: bool
   """Whether it was lately sent the prefix that was asked for."""
@@ -84,7 +84,7 @@
     sent_at = found.prefixes.get(prefix)
     return Standing(
         in_flight=len(found.requests),
-        reading_s=max(0.0, found.read_at - now),
+        prefill_s=max(0.0, found.read_at - now),
         held=sent_at is not None and now - sent_at <= _CACHED_S,
         slowness=found.slowness,
         failures=found.failures,
@@ -95,7 +95,7 @@
       endpoint: str,
       request: str,
       prefix: str,
-      reading_s: float,
+      prefill_s: float,
       now: float,
   ) -> None:
     """Notes a request that is on its way to an endpoint.
@@ -110,7 +110,7 @@
     found = self._find(endpoint, now)
     found.requests[request] = now
     begin = max(now, found.read_at)
-    most_s = min(max(0.0, reading_s), _MOST_READING_S)
+    most_s = min(max(0.0, prefill_s), _MOST_READING_S)
     found.read_at = begin + most_s * found.slowness
     if prefix:
       found.prefixes.pop(prefix, None)
--- a/tests/test_loads.py
+++ b/tests/test_loads.py
@@ -86,7 +86,7 @@
     place = placement.choose(list(router.table.rows.values()), prompt, "dc")
     row = place.row
     row.in_flight += 1
-    row.reading_s += place.reading_s
+    row.prefill_s += place.prefill_s
     router.loads.note_sent(row.name, name, now)
     self._tell(router, now)
     tokens = own if (name, row.name) in self._cached else own + shared
@@ -98,7 +98,7 @@
     self.late += first - now > objective_s
 
     def _read(at):
-      row.reading_s -= place.reading_s
+      row.prefill_s -= place.prefill_s
       self._tell(router, at)
 
     def _end(at):
@@ -217,7 +217,7 @@
       router.table.update_slowness(first, 0.06, 0.3)
     self.assertTrue(first.slowness > 4.0, first.slowness)
     for row in rows:
-      row.reading_s = 0.1
+      row.prefill_s = 0.1
     self.assertIsNot(first, placement.choose(rows, prompt, "dc").row)
     for _ in range(80):
       router.table.tick(0.0)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -55,7 +55,7 @@
     used = set()
     for _ in range(20):
       place = placement.choose(rows, _prompt(1), "dc")
-      place.row.reading_s += place.reading_s
+      place.row.prefill_s += place.prefill_s
       place.row.in_flight += 1
       used.add(place.row.name)
     self.assertTrue(1 < len(used) <= 9, used)
--- a/tests/test_tracking.py
+++ b/tests/test_tracking.py
@@ -125,7 +125,7 @@
     tracker.note_sent("i", "r2", "q", 0.2, 10.1)
     found = tracker.stand("i", "p", 10.2)
     self.assertEqual((2, True), (found.in_flight, found.held))
-    self.assertAlmostEqual(0.5, found.reading_s)
+    self.assertAlmostEqual(0.5, found.prefill_s)
     self.assertFalse(tracker.stand("i", "z", 10.2).held)
 
   def test_what_nobody_ended_is_forgotten(self):
@@ -148,10 +148,10 @@
   def test_nonsense_of_one_router_does_not_close_an_endpoint(self):
     """Guards against an endpoint that is passed over for one datagram."""
     tracker = tracking.Tracker()
-    for reading_s in (1e12, float("inf"), float("nan"), -1e12):
-      tracker.note_sent("i", f"r{reading_s}", "p", reading_s, 10.0)
+    for prefill_s in (1e12, float("inf"), float("nan"), -1e12):
+      tracker.note_sent("i", f"r{reading_s}", "p", prefill_s, 10.0)
     found = tracker.stand("i", "p", 10.0)
-    self.assertTrue(0.0 <= found.reading_s <= 40.0, found)
+    self.assertTrue(0.0 <= found.prefill_s <= 40.0, found)
 
   def test_failures_fade(self):
     tracker = tracking.Tracker()
@@ -227,7 +227,7 @@
 
     found = virtual.run(go)
     self.assertEqual((1, True), (found["i-1"].in_flight, found["i-1"].held))
-    self.assertAlmostEqual(0.4, found["i-1"].reading_s, 2)
+    self.assertAlmostEqual(0.4, found["i-1"].prefill_s, 2)
     self.assertEqual(tracking.UNKNOWN, found["i-2"])
 
   def test_deputy_answers_for_a_tracker_that_is_gone(self):
