--- a/mustardfall/membership/trackers.py
+++ b/mustardfall/membership/trackers.py
@@ -33,10 +33,10 @@
   def __init__(self, asked: set[str]) -> None:
     self.missing = asked
     """Endpoints that nothing was heard of."""
-    self.found: dict[str, tracking.Standing] = {}
+    self.found: dict[str, tracking.EndpointStatus] = {}
     self.done = anyio.Event()
 
-  def take(self, endpoint: str, standing: tracking.Standing) -> None:
+  def take(self, endpoint: str, standing: tracking.EndpointStatus) -> None:
     """Takes one endpoint's answer in."""
     if endpoint not in self.missing:
       return
@@ -94,7 +94,7 @@
 
   async def survey(
       self, endpoints: Iterable[str], prefix: str
-  ) -> dict[str, tracking.Standing]:
+  ) -> dict[str, tracking.EndpointStatus]:
     """Returns how endpoints stand, as far as that is answered in time.
 
     Args:
@@ -153,7 +153,7 @@
     if survey is None:
       return  # it came too late
     for endpoint, in_flight, prefill_s, held, slowness, failures in found:
-      standing = tracking.Standing(
+      standing = tracking.EndpointStatus(
           int(in_flight),
           float(prefill_s),
           bool(held),
--- a/mustardfall/routing/placement.py
+++ b/mustardfall/routing/placement.py
@@ -161,7 +161,7 @@
 
 def choose_tracked(
     found: list[Candidate],
-    standings: Mapping[str, tracking.Standing],
+    standings: Mapping[str, tracking.EndpointStatus],
     prompt: Prompt,
     datacentre: str,
 ) -> Place | None:
@@ -187,7 +187,9 @@
 
 
 def _is_held(
-    one: Candidate, standings: Mapping[str, tracking.Standing], prompt: Prompt
+    one: Candidate,
+    standings: Mapping[str, tracking.EndpointStatus],
+    prompt: Prompt,
 ) -> bool:
   standing = standings.get(one.row.life)
   if standing is not None and standing.held:
@@ -196,7 +198,9 @@
 
 
 def tracked_wait_s(
-    one: Candidate, standings: Mapping[str, tracking.Standing], prompt: Prompt
+    one: Candidate,
+    standings: Mapping[str, tracking.EndpointStatus],
+    prompt: Prompt,
 ) -> float:
   """Returns the seconds that what is at a candidate takes before a request."""
   standing = standings.get(one.row.life)
@@ -208,7 +212,7 @@
 
 def _tracked_cost_s(
     one: Candidate,
-    standings: Mapping[str, tracking.Standing],
+    standings: Mapping[str, tracking.EndpointStatus],
     held: bool,
     prompt: Prompt,
     datacentre: str,
--- a/mustardfall/routing/tracking.py
+++ b/mustardfall/routing/tracking.py
@@ -32,7 +32,7 @@
 """Most that one first token counts as slower or faster than expected."""
 
 
-class Standing(NamedTuple):
+class EndpointStatus(NamedTuple):
   """How an endpoint stands, as told to a router that may choose it."""
 
   in_flight: int
@@ -47,7 +47,7 @@
   """Tries that failed there lately, decaying."""
 
 
-UNKNOWN = Standing(0, 0.0, False, 1.0, 0.0)
+UNKNOWN = EndpointStatus(0, 0.0, False, 1.0, 0.0)
 """Of an endpoint that nothing was heard of."""
 
 
@@ -75,14 +75,14 @@
     self._tracked: dict[str, _Tracked] = {}
     self._cleared_at = 0.0
 
-  def stand(self, endpoint: str, prefix: str, now: float) -> Standing:
+  def stand(self, endpoint: str, prefix: str, now: float) -> EndpointStatus:
     """Returns how an endpoint stands for a request with `prefix`."""
     found = self._tracked.get(endpoint)
     if found is None:
       return UNKNOWN
     self._age(found, now)
     sent_at = found.prefixes.get(prefix)
-    return Standing(
+    return EndpointStatus(
         in_flight=len(found.requests),
         prefill_s=max(0.0, found.read_at - now),
         held=sent_at is not None and now - sent_at <= _CACHED_S,
