--- a/mustardfall/bench/virtual/engines.py
+++ b/mustardfall/bench/virtual/engines.py
@@ -325,7 +325,7 @@
     asked += found
     player.messages += len(found)
     standings = {
-        one.row.life: player.tracker.stand(one.row.life, prompt.prefix, now)
+        one.row.life: player.tracker.status_of(one.row.life, prompt.prefix, now)
         for one in asked
     }
     place = placement.choose_tracked(
--- a/mustardfall/membership/trackers.py
+++ b/mustardfall/membership/trackers.py
@@ -107,7 +107,7 @@
     for endpoint in sorted(survey.missing):
       tracker = self._trackers(endpoint)[0]
       if tracker.life == self._members.me.life:
-        survey.take(endpoint, self._tracker.stand(endpoint, prefix, now))
+        survey.take(endpoint, self._tracker.status_of(endpoint, prefix, now))
       else:
         asked.setdefault(tracker, []).append(endpoint)
     if asked:
@@ -141,7 +141,7 @@
     number, prefix, endpoints = json.loads(raw)
     now = self._clock.monotonic()
     found = [
-        [endpoint, *self._tracker.stand(str(endpoint), str(prefix), now)]
+        [endpoint, *self._tracker.status_of(str(endpoint), str(prefix), now)]
         for endpoint in endpoints
     ]
     content = _encode([int(number), found])
--- a/mustardfall/routing/tracking.py
+++ b/mustardfall/routing/tracking.py
@@ -75,7 +75,7 @@
     self._tracked: dict[str, _Tracked] = {}
     self._cleared_at = 0.0
 
-  def stand(self, endpoint: str, prefix: str, now: float) -> EndpointStatus:
+  def status_of(self, endpoint: str, prefix: str, now: float) -> EndpointStatus:
     """Returns how an endpoint stands for a request with `prefix`."""
     found = self._tracked.get(endpoint)
     if found is None:
--- a/tests/test_tracking.py
+++ b/tests/test_tracking.py
@@ -123,16 +123,16 @@
     tracker = tracking.Tracker()
     tracker.note_sent("i", "r1", "p", 0.5, 10.0)
     tracker.note_sent("i", "r2", "q", 0.2, 10.1)
-    found = tracker.stand("i", "p", 10.2)
+    found = tracker.status_of("i", "p", 10.2)
     self.assertEqual((2, True), (found.in_flight, found.held))
     self.assertAlmostEqual(0.5, found.prefill_s)
-    self.assertFalse(tracker.stand("i", "z", 10.2).held)
+    self.assertFalse(tracker.status_of("i", "z", 10.2).held)
 
   def test_what_nobody_ended_is_forgotten(self):
     """Guards against an endpoint that looks busy since a router died."""
     tracker = tracking.Tracker()
     tracker.note_sent("i", "r1", "p", 0.5, 10.0)
-    found = tracker.stand("i", "p", 40.0)
+    found = tracker.status_of("i", "p", 40.0)
     self.assertEqual((0, 0.0, False), found[:3])
 
   def test_slow_endpoint_gets_its_share_back(self):
@@ -140,9 +140,9 @@
     tracker = tracking.Tracker()
     for number in range(5):
       tracker.note_first("i", 0.2, 0.7, 10.0 + number / 5)
-    slow = tracker.stand("i", "", 11.0).slowness
+    slow = tracker.status_of("i", "", 11.0).slowness
     self.assertTrue(slow >= 2.0, slow)
-    after = tracker.stand("i", "", 19.0).slowness
+    after = tracker.status_of("i", "", 19.0).slowness
     self.assertTrue(after <= 1.2, after)
 
   def test_nonsense_of_one_router_does_not_close_an_endpoint(self):
@@ -150,14 +150,14 @@
     tracker = tracking.Tracker()
     for prefill_s in (1e12, float("inf"), float("nan"), -1e12):
       tracker.note_sent("i", f"r{reading_s}", "p", prefill_s, 10.0)
-    found = tracker.stand("i", "p", 10.0)
+    found = tracker.status_of("i", "p", 10.0)
     self.assertTrue(0.0 <= found.prefill_s <= 40.0, found)
 
   def test_failures_fade(self):
     tracker = tracking.Tracker()
     tracker.note_end("i", "r", True, 10.0)
-    self.assertEqual(1.0, tracker.stand("i", "", 10.0).failures)
-    self.assertTrue(tracker.stand("i", "", 13.0).failures < 0.1)
+    self.assertEqual(1.0, tracker.status_of("i", "", 10.0).failures)
+    self.assertTrue(tracker.status_of("i", "", 13.0).failures < 0.1)
 
 
 class _Net:
