--- a/mustardfall/bench/virtual/engines.py
+++ b/mustardfall/bench/virtual/engines.py
@@ -140,7 +140,7 @@
   kind: Kind
   tokens: int
   prompt: placement.Prompt
-  place: placement.Place
+  place: placement.Placement
   name: str
   sent_at: float
 
@@ -284,7 +284,7 @@
 
 def _choose_known(
     player: Player, router: _Router, prompt: placement.Prompt, now: float
-) -> placement.Place:
+) -> placement.Placement:
   """Takes what the router itself knows."""
   del player, now
   return placement.choose(router.rows, prompt, router.datacentre)
@@ -292,30 +292,30 @@
 
 def _choose_hashed(
     player: Player, router: _Router, prompt: placement.Prompt, now: float
-) -> placement.Place:
+) -> placement.Placement:
   """Takes the first in the prefix's order."""
   del now
   first, _ = placement.candidates(
       router.rows, prompt, router.datacentre, player.rng()
   )
   held_s = placement.prefill_s(True, prompt)
-  return placement.Place(first[0].row, held_s, held_s)
+  return placement.Placement(first[0].row, held_s, held_s)
 
 
 def _choose_of_two(
     player: Player, router: _Router, prompt: placement.Prompt, now: float
-) -> placement.Place:
+) -> placement.Placement:
   """Takes the less busy of two drawn at random, as the router knows them."""
   del now
   rows = player.rng().sample(router.rows, 2)
   row = min(rows, key=lambda r: placement.wait_s(r, prompt))
   own_s = placement.prefill_s(False, prompt)
-  return placement.Place(row, own_s, placement.wait_s(row, prompt) + own_s)
+  return placement.Placement(row, own_s, placement.wait_s(row, prompt) + own_s)
 
 
 def _choose_tracked(
     player: Player, router: _Router, prompt: placement.Prompt, now: float
-) -> placement.Place:
+) -> placement.Placement:
   """Asks those who track the candidates."""
   rounds = placement.candidates(
       router.rows, prompt, router.datacentre, player.rng()
--- a/mustardfall/proxy/forwarder.py
+++ b/mustardfall/proxy/forwarder.py
@@ -197,7 +197,7 @@
     else:
       raise refusals.no_endpoint(self._admission.retry_after(0.25))
 
-  async def _try(self, job: job_lib.Job, place: placement.Place) -> None:
+  async def _try(self, job: job_lib.Job, place: placement.Placement) -> None:
     """Sends the request to one endpoint and relays its answer.
 
     Raises:
@@ -259,7 +259,7 @@
   async def _relay(
       self,
       job: job_lib.Job,
-      place: placement.Place,
+      place: placement.Placement,
       exchange: exchange_lib.Exchange,
       ran_before: bool,
       visit: placer_lib.Visit,
--- a/mustardfall/proxy/placer.py
+++ b/mustardfall/proxy/placer.py
@@ -25,7 +25,7 @@
   def __init__(
       self,
       job: job_lib.Job,
-      place: placement.Place,
+      place: placement.Placement,
       directory: directory_lib.Directory,
       load_share: loadshare_lib.LoadShare,
       trackers: trackers_lib.Trackers,
@@ -88,7 +88,7 @@
     self._trackers = trackers
     self._random = random.Random()
 
-  async def choose(self, job: job_lib.Job) -> placement.Place | None:
+  async def choose(self, job: job_lib.Job) -> placement.Placement | None:
     """Returns the endpoint that should answer soonest; None without any."""
     rows = self._directory.endpoints.fitting(job.service.name, "")
     fresh = [row for row in rows if row.name not in job.tried]
@@ -99,7 +99,7 @@
 
   async def _choose_tracked(
       self, rows: list[endpoints.Row], prompt: placement.Prompt
-  ) -> placement.Place | None:
+  ) -> placement.Placement | None:
     """Asks how a few endpoints stand, and some more where these are busy."""
     place, asked, standings = None, [], {}
     rounds = placement.candidates(rows, prompt, self._datacentre, self._random)
@@ -120,6 +120,6 @@
     if self._trackers.is_used:
       self._trackers.note_end(trackers_lib.Sent(row.life, ""), failed=True)
 
-  def begin(self, job: job_lib.Job, place: placement.Place) -> Visit:
+  def begin(self, job: job_lib.Job, place: placement.Placement) -> Visit:
     """Notes that a request is on its way; returns what it is until its end."""
     return Visit(job, place, self._directory, self._load_share, self._trackers)
--- a/mustardfall/routing/placement.py
+++ b/mustardfall/routing/placement.py
@@ -67,7 +67,7 @@
 NO_PROMPT = Prompt("", 0, 0)
 
 
-class Place(NamedTuple):
+class Placement(NamedTuple):
   """The endpoint chosen, and the times that are expected there."""
 
   row: endpoints.Row
@@ -164,7 +164,7 @@
     standings: Mapping[str, tracking.EndpointStatus],
     prompt: Prompt,
     datacentre: str,
-) -> Place | None:
+) -> Placement | None:
   """Returns the candidate that should answer soonest; None without any.
 
   Args:
@@ -183,7 +183,9 @@
     return None
   best = found[min(costs)[1]]
   own_s = prefill_s(_is_held(best, standings, prompt), prompt)
-  return Place(best.row, own_s, tracked_wait_s(best, standings, prompt) + own_s)
+  return Placement(
+      best.row, own_s, tracked_wait_s(best, standings, prompt) + own_s
+  )
 
 
 def _is_held(
@@ -234,14 +236,14 @@
   )
 
 
-def is_busy(place: Place, prompt: Prompt) -> bool:
+def is_busy(place: Placement, prompt: Prompt) -> bool:
   """Whether more candidates should be weighed before a request waits there."""
   return place.answer_s - place.prefill_s > _BUSY_S and bool(prompt.prefix)
 
 
 def choose(
     rows: list[endpoints.Row], prompt: Prompt, datacentre: str
-) -> Place | None:
+) -> Placement | None:
   """Returns the endpoint that should answer soonest; None without any."""
   ordered = sorted(rows, key=lambda row: _weight(prompt.prefix, row.name))
   held = any(holds(row, rank, prompt) for rank, row in enumerate(ordered))
@@ -254,7 +256,7 @@
     return None
   rank, row = best
   own_s = prefill_s(holds(row, rank, prompt), prompt)
-  return Place(row, own_s, wait_s(row, prompt) + own_s)
+  return Placement(row, own_s, wait_s(row, prompt) + own_s)
 
 
 def _weight(prefix: str, name: str) -> bytes:
