--- a/mustardfall/bench/virtual/engines.py
+++ b/mustardfall/bench/virtual/engines.py
@@ -375,7 +375,7 @@
     )
   elif step == "first":
     took_s = now - sent.sent_at
-    player.tracker.note_first(life, sent.place.answer_s, took_s, now)
+    player.tracker.note_first_token(life, sent.place.answer_s, took_s, now)
   else:
     player.tracker.note_end(life, sent.name, False, now)
 
--- a/mustardfall/membership/trackers.py
+++ b/mustardfall/membership/trackers.py
@@ -168,7 +168,9 @@
     self._tell(["sent", endpoint, request, prefix, round(prefill_s, 4)])
     return Sent(endpoint, request)
 
-  def note_first(self, sent: Sent, expected_s: float, took_s: float) -> None:
+  def note_first_token(
+      self, sent: Sent, expected_s: float, took_s: float
+  ) -> None:
     """Tells how long an endpoint's first token took."""
     times = [round(expected_s, 4), round(took_s, 4)]
     self._tell(["first", sent.endpoint, *times])
@@ -193,7 +195,9 @@
       self._tracker.note_sent(endpoint, request, prefix, float(prefill_s), now)
     elif step == "first":
       expected_s, took_s = facts
-      self._tracker.note_first(endpoint, float(expected_s), float(took_s), now)
+      self._tracker.note_first_token(
+          endpoint, float(expected_s), float(took_s), now
+      )
     elif step == "end":
       request, failed = facts
       self._tracker.note_end(endpoint, request, bool(failed), now)
--- a/mustardfall/proxy/forwarder.py
+++ b/mustardfall/proxy/forwarder.py
@@ -275,9 +275,9 @@
       # It may have failed at once, which says nothing of its speed.
       waited_s = self._clock.monotonic() - sent_at
       if waited_s > place.answer_s:
-        visit.note_first(waited_s)
+        visit.note_first_token(waited_s)
       raise
-    visit.note_first(self._clock.monotonic() - sent_at)
+    visit.note_first_token(self._clock.monotonic() - sent_at)
     visit.end_reading()
     if answer.load is not None:
       row.running = answer.load.running
--- a/mustardfall/proxy/placer.py
+++ b/mustardfall/proxy/placer.py
@@ -43,14 +43,14 @@
     if trackers.is_used:
       self._sent = trackers.note_sent(place.row.life, prefix, place.prefill_s)
 
-  def note_first(self, took_s: float) -> None:
+  def note_first_token(self, took_s: float) -> None:
     """Notes how long the head of the answer took, or did not come."""
     if not self._is_generation:
       return
     place = self._place
     self._directory.endpoints.update_slowness(place.row, place.answer_s, took_s)
     if self._sent is not None:
-      self._trackers.note_first(self._sent, place.answer_s, took_s)
+      self._trackers.note_first_token(self._sent, place.answer_s, took_s)
 
   def end_reading(self) -> None:
     """Notes that the prompt has been read."""
--- a/mustardfall/routing/tracking.py
+++ b/mustardfall/routing/tracking.py
@@ -116,7 +116,7 @@
       found.prefixes.pop(prefix, None)
       found.prefixes[prefix] = now
 
-  def note_first(
+  def note_first_token(
       self, endpoint: str, expected_s: float, took_s: float, now: float
   ) -> None:
     """Notes how long a first token took, or has taken so far."""
--- a/tests/test_tracking.py
+++ b/tests/test_tracking.py
@@ -139,7 +139,7 @@
     """Guards against an endpoint that is passed over for good."""
     tracker = tracking.Tracker()
     for number in range(5):
-      tracker.note_first("i", 0.2, 0.7, 10.0 + number / 5)
+      tracker.note_first_token("i", 0.2, 0.7, 10.0 + number / 5)
     slow = tracker.status_of("i", "", 11.0).slowness
     self.assertTrue(slow >= 2.0, slow)
     after = tracker.status_of("i", "", 19.0).slowness
