--- a/mustardfall/api/calls.py
+++ b/mustardfall/api/calls.py
@@ -92,7 +92,7 @@
     self._answered = False
     self._settled = False
     self._handed_over = False
-    self._want: scheduler.Want | None = None
+    self._want: scheduler.SlotRequest | None = None
     self.row: endpoints.Row | None = None
     self._idem_key = ""
     self._claim = ""
@@ -129,7 +129,7 @@
       self, kind: str, model_name: str, avoid: frozenset[str]
   ) -> scheduler.Shed | None:
     """Takes a place at an endpoint; returns the refusal, or None."""
-    want = scheduler.Want(kind, model_name, self.entry.klass)
+    want = scheduler.SlotRequest(kind, model_name, self.entry.klass)
     got = await self.router.scheduler.acquire(want, avoid)
     if isinstance(got, scheduler.Shed):
       return got
--- a/mustardfall/routing/scheduler.py
+++ b/mustardfall/routing/scheduler.py
@@ -38,7 +38,7 @@
   retry_after_s: float
 
 
-class Want(NamedTuple):
+class SlotRequest(NamedTuple):
   """What a request needs a place for."""
 
   kind: str
@@ -49,7 +49,7 @@
 
 @dataclasses.dataclass(eq=False)
 class _Waiter:
-  want: Want
+  want: SlotRequest
   avoid: frozenset[str]
   ready: anyio.Event
   row: endpoints.Row | None = None
@@ -100,7 +100,7 @@
     return self._config.deferrable_wait_s
 
   async def acquire(
-      self, want: Want, avoid: frozenset[str] = frozenset()
+      self, want: SlotRequest, avoid: frozenset[str] = frozenset()
   ) -> endpoints.Row | Shed:
     """Returns an endpoint with a place taken there, or a refusal.
 
@@ -206,7 +206,7 @@
     else:
       line.urgent_run = 0
 
-  def release(self, row: endpoints.Row, want: Want) -> None:
+  def release(self, row: endpoints.Row, want: SlotRequest) -> None:
     """Gives a place back."""
     row.in_flight -= 1
     line = self._lines.get((want.kind, want.model))
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -15,8 +15,8 @@
 from mustardfall.util import clock as clock_lib
 from tests import configs
 
-_URGENT = scheduler.Want("engine", "m", model.Klass.URGENT)
-_DEFERRABLE = scheduler.Want("engine", "m", model.Klass.DEFERRABLE)
+_URGENT = scheduler.SlotRequest("engine", "m", model.Klass.URGENT)
+_DEFERRABLE = scheduler.SlotRequest("engine", "m", model.Klass.DEFERRABLE)
 
 
 def _make(limit=4.0, state="live", **config):
