--- a/mustardfall/proxy/forwarder.py
+++ b/mustardfall/proxy/forwarder.py
@@ -143,7 +143,7 @@
 
   def _retry_burst(self) -> float:
     """Returns the second sends that this router may save up for a service."""
-    return retries.part_of_burst(
+    return retries.burst_per_router(
         self._config.proxy.retry_burst,
         members_lib.CLOSE_FLEET,
         self._fleet.most(),
--- a/mustardfall/routing/retries.py
+++ b/mustardfall/routing/retries.py
@@ -22,7 +22,7 @@
 """How long a larger fleet is remembered at least."""
 
 
-def part_of_burst(burst: float, planned: int, routers: int) -> float:
+def burst_per_router(burst: float, planned: int, routers: int) -> float:
   """Returns the retries that one router of a fleet may save up.
 
   Args:
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -36,7 +36,7 @@
       if number % (requests_each // lives) == 0:
         budget = retries.RetryBudget(
             _RATIO * _SAFETY,
-            lambda: retries.part_of_burst(
+            lambda: retries.burst_per_router(
                 burst, members_lib.CLOSE_FLEET, routers
             ),
         )
@@ -64,7 +64,7 @@
   def test_one_retry_can_always_be_saved_up(self):
     budget = retries.RetryBudget(
         0.15,
-        lambda: retries.part_of_burst(27.0, 12, 5_000),
+        lambda: retries.burst_per_router(27.0, 12, 5_000),
     )
     for _ in range(2):
       self.assertFalse(budget.withdraw())
