--- a/mustardfall/bench/virtual/engines.py
+++ b/mustardfall/bench/virtual/engines.py
@@ -359,7 +359,7 @@
     other = player.routers[router.turn]
     if other is not router:
       other.loads.take(report, now)
-      other.loads.add_up(now)
+      other.loads.recompute_totals(now)
 
 
 def _tell_tracker(
--- a/mustardfall/gateway.py
+++ b/mustardfall/gateway.py
@@ -321,7 +321,7 @@
       now = self.clock.monotonic()
       self.accounts.pool.tick(now - last)
       self.directory.endpoints.tick(now)
-      self.loads.add_up(now)
+      self.loads.recompute_totals(now)
       self.trackers.forget()
       await self.links.close_idle()
       last = now
--- a/mustardfall/routing/loads.py
+++ b/mustardfall/routing/loads.py
@@ -136,7 +136,7 @@
         row.others_in_flight += sign * load.in_flight
         row.others_reading_s += sign * load.prefill_s
 
-  def add_up(self, now: float) -> None:
+  def recompute_totals(self, now: float) -> None:
     """Adds up what is fresh; called each tick.
 
     Routers that have gone silent count no more, and endpoints that were
--- a/tests/test_loads.py
+++ b/tests/test_loads.py
@@ -173,7 +173,7 @@
       router.loads.take(loads.Report(f"r{sender}:e", number, found, {}), 0.0)
     rows = router.table.rows.values()
     kept = [(row.others_in_flight, row.others_reading_s) for row in rows]
-    router.loads.add_up(0.0)
+    router.loads.recompute_totals(0.0)
     anew = [(row.others_in_flight, row.others_reading_s) for row in rows]
     self.assertEqual(anew, kept)
 
@@ -181,9 +181,9 @@
     # A killed router says nothing; what it had in flight ended with it. Kept,
     # it would hold the others off the engines that it used.
     self._take("r1:e", 1, 0.0)
-    self.router.loads.add_up(1.0)
+    self.router.loads.recompute_totals(1.0)
     self.assertEqual(2, self.row.others_in_flight)
-    self.router.loads.add_up(2.0)
+    self.router.loads.recompute_totals(2.0)
     self.assertEqual(0, self.row.others_in_flight)
 
   @given(
