--- a/mustardfall/membership/verdicts.py
+++ b/mustardfall/membership/verdicts.py
@@ -116,7 +116,7 @@
     if self._table.note_end(suspect):
       self._publish(
           quarantine.Verdict(
-              suspect.fingerprint, suspect.team, quarantine.TERM_S
+              suspect.fingerprint, suspect.team, quarantine.QUARANTINE_S
           )
       )
 
--- a/mustardfall/routing/quarantine.py
+++ b/mustardfall/routing/quarantine.py
@@ -19,7 +19,7 @@
 
 LIMIT = 3
 """Endpoints that end under a request before it is quarantined."""
-TERM_S = 600.0
+QUARANTINE_S = 600.0
 """For which it is quarantined. Afterwards one more endpoint that ends under it
 has it quarantined again."""
 _REMEMBERED_S = 120.0
@@ -124,7 +124,7 @@
       row.began_at = now
     if row.events < LIMIT and not was_quarantined:
       return False
-    self._quarantine(suspect.fingerprint, row, TERM_S)
+    self._quarantine(suspect.fingerprint, row, QUARANTINE_S)
     return True
 
   def note_success(self, fingerprint_: str) -> bool:
@@ -156,7 +156,9 @@
     if self._is_sound(verdict.fingerprint) or self.left_s(verdict.fingerprint):
       return False
     row = self._row(verdict.fingerprint, verdict.team)
-    self._quarantine(verdict.fingerprint, row, min(verdict.left_s, TERM_S))
+    self._quarantine(
+        verdict.fingerprint, row, min(verdict.left_s, QUARANTINE_S)
+    )
     return True
 
   def verdicts(self) -> list[Verdict]:
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -34,13 +34,13 @@
 
   def test_request_that_ends_three_endpoints_is_quarantined(self):
     self.assertEqual([False, False, True], self._end_apart("x", 3))
-    self.assertEqual(quarantine.TERM_S, self.table.left_s("x"))
-    self._pass(quarantine.TERM_S + 1)
+    self.assertEqual(quarantine.QUARANTINE_S, self.table.left_s("x"))
+    self._pass(quarantine.QUARANTINE_S + 1)
     self.assertEqual(0, self.table.left_s("x"))
 
   def test_request_that_comes_again_after_its_term_has_one_try(self):
     self._end_apart("x", 3)
-    self._pass(quarantine.TERM_S + 1)
+    self._pass(quarantine.QUARANTINE_S + 1)
     self.assertTrue(self._end("x", "again"))
     self.assertTrue(self.table.left_s("x") > 0)
 
