--- a/mustardfall/routing/quarantine.py
+++ b/mustardfall/routing/quarantine.py
@@ -17,7 +17,7 @@
 
 logger = logging.getLogger(__name__)
 
-LIMIT = 3
+CRASH_LIMIT = 3
 """Endpoints that end under a request before it is quarantined."""
 QUARANTINE_S = 600.0
 """For which it is quarantined. Afterwards one more endpoint that ends under it
@@ -122,7 +122,7 @@
     if since_s > min(_TOGETHER_S, suspect.ran_s):
       row.events += 1
       row.began_at = now
-    if row.events < LIMIT and not was_quarantined:
+    if row.events < CRASH_LIMIT and not was_quarantined:
       return False
     self._quarantine(suspect.fingerprint, row, QUARANTINE_S)
     return True
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -164,28 +164,28 @@
 
   @in_fleet
   async def test_all_know_soon(self, fleet):
-    await fleet.end_endpoints("x", quarantine.LIMIT)
+    await fleet.end_endpoints("x", quarantine.CRASH_LIMIT)
     self.assertEqual([], fleet.unaware("x"))
 
   @in_fleet
   async def test_all_know_in_time_while_a_fifth_is_lost(self, fleet):
     """Guards against a router that missed the datagrams and sends it on."""
     fleet.net.lost = 0.2
-    await fleet.end_endpoints("x", quarantine.LIMIT)
+    await fleet.end_endpoints("x", quarantine.CRASH_LIMIT)
     await anyio.sleep(_CONTACT_S)
     self.assertEqual([], fleet.unaware("x"))
 
   @in_fleet
   async def test_all_know_while_the_store_is_away(self, fleet):
     fleet.store.away = True
-    await fleet.end_endpoints("x", quarantine.LIMIT)
+    await fleet.end_endpoints("x", quarantine.CRASH_LIMIT)
     await anyio.sleep(_CONTACT_S)
     self.assertEqual([], fleet.unaware("x"))
 
   @in_fleet
   async def test_all_know_again_after_all_have_died(self, fleet):
     """Guards against a request that is let in again by a loss of power."""
-    await fleet.end_endpoints("x", quarantine.LIMIT)
+    await fleet.end_endpoints("x", quarantine.CRASH_LIMIT)
     before = fleet.store.calls
     fleet.restart_all()
     self.assertEqual(_ROUTERS, len(fleet.unaware("x")))
@@ -195,13 +195,13 @@
 
   @in_fleet
   async def test_two_that_ended_say_nothing_to_the_others(self, fleet):
-    await fleet.end_endpoints("x", quarantine.LIMIT - 1)
+    await fleet.end_endpoints("x", quarantine.CRASH_LIMIT - 1)
     await anyio.sleep(_CONTACT_S)
     self.assertEqual(_ROUTERS, len(fleet.unaware("x")))
 
   @in_fleet
   async def test_request_that_succeeds_is_let_in_again_everywhere(self, fleet):
-    await fleet.end_endpoints("x", quarantine.LIMIT)
+    await fleet.end_endpoints("x", quarantine.CRASH_LIMIT)
     fleet.verdicts[11].note_success("x")
     await anyio.sleep(0.3)
     self.assertEqual(_ROUTERS, len(fleet.unaware("x")))
@@ -220,12 +220,12 @@
     await anyio.sleep(1.5)
     self.assertEqual(calls, fleet.store.calls)
     self.assertTrue(fleet.net.sent - sent <= 3 * 24, fleet.net.sent - sent)
-    await fleet.end_endpoints("beside1", quarantine.LIMIT - 1, offset=20)
+    await fleet.end_endpoints("beside1", quarantine.CRASH_LIMIT - 1, offset=20)
     self.assertEqual(_ROUTERS, len(fleet.unaware("beside1")))
 
   @in_fleet
   async def test_unreadable_entries_hide_no_other(self, fleet):
-    await fleet.end_endpoints("x", quarantine.LIMIT)
+    await fleet.end_endpoints("x", quarantine.CRASH_LIMIT)
     for number, value in enumerate((b"", b"3", b"[1]", b"[1, 2, {}]", b"\xff")):
       key = f"{verdicts_lib.PREFIX}{number}"
       fleet.store.records[key] = protocol.Record(key, value, 1, 0)
@@ -235,7 +235,7 @@
 
   @in_fleet
   async def test_what_is_repeated_does_not_grow_with_the_fleet(self, fleet):
-    await fleet.end_endpoints("x", quarantine.LIMIT)
+    await fleet.end_endpoints("x", quarantine.CRASH_LIMIT)
     await anyio.sleep(1.0)
     before = fleet.net.sent
     await anyio.sleep(10.0)
