--- a/mustardfall/api/calls.py
+++ b/mustardfall/api/calls.py
@@ -32,12 +32,14 @@
   REPLAYED = "replayed"
 
 
-def attributes(entry: table.Found) -> dict[str, str]:
+def attributes(entry: table.CallerEntry) -> dict[str, str]:
   """Returns the metric attributes of an entry: tenant and class."""
   return {"customer": entry.customer, "class": entry.klass.value}
 
 
-def count(router: router_lib.Router, entry: table.Found, end: End) -> None:
+def count(
+    router: router_lib.Router, entry: table.CallerEntry, end: End
+) -> None:
   """Counts one request's end."""
   router.instruments.outcomes.add(
       1, {**attributes(entry), "outcome": end.value}
@@ -46,7 +48,7 @@
 
 
 async def admit(
-    router: router_lib.Router, entry: table.Found, tokens: int
+    router: router_lib.Router, entry: table.CallerEntry, tokens: int
 ) -> "Call | verdict.Verdict":
   """Admits a request that may use `tokens`, or refuses it at once."""
   router.retries.deposit()
@@ -81,7 +83,7 @@
   def __init__(
       self,
       router: router_lib.Router,
-      entry: table.Found,
+      entry: table.CallerEntry,
       reservation: allotment.Reservation,
   ) -> None:
     self.router = router
--- a/mustardfall/api/chat.py
+++ b/mustardfall/api/chat.py
@@ -73,7 +73,7 @@
 
 def _read(
     router: router_lib.Router,
-    entry: table.Found,
+    entry: table.CallerEntry,
     request: requests.Request,
     body: dict[str, Any] | None,
 ) -> _Ask | verdict.Verdict:
--- a/mustardfall/catalogue/table.py
+++ b/mustardfall/catalogue/table.py
@@ -33,7 +33,7 @@
 NO_HEAD = Head([], [])
 
 
-class Found(NamedTuple):
+class CallerEntry(NamedTuple):
   """What a router needs to know of a caller's entry."""
 
   name: str
@@ -77,7 +77,7 @@
   def __len__(self) -> int:
     return len(self._rows)
 
-  def find(self, wanted: bytes) -> Found | None:
+  def find(self, wanted: bytes) -> CallerEntry | None:
     """Returns the entry whose key has the digest `wanted`, or None."""
     low, high = 0, len(self._rows)
     while low < high:
@@ -90,7 +90,7 @@
       return None
     row = self._rows[low]
     name = self._names[self._ends[row] : self._ends[row + 1]].decode()
-    return Found(name, *self._shared[self._kinds[row]])
+    return CallerEntry(name, *self._shared[self._kinds[row]])
 
 
 def _at(digests: bytes | bytearray, i: int) -> bytes:
@@ -105,7 +105,7 @@
     self._base = _Columns([])
     self._changed: dict[str, bytes | None] = {}
     """Names changed since the base, to their key's digest (None: gone)."""
-    self._over: dict[bytes, Found] = {}
+    self._over: dict[bytes, CallerEntry] = {}
     """Changed entries by their key's digest."""
     self._weighs: dict[str, policy.Weighs] = {}
     self.placements: dict[str, frozenset[str]] = {}
@@ -144,7 +144,7 @@
       return False
     key = digest(entry.api_key)
     self._changed[entry.name] = key
-    self._over[key] = Found(entry.name, *_shared(entry))
+    self._over[key] = CallerEntry(entry.name, *_shared(entry))
     return True
 
   def remove(self, revision: int, name: str) -> bool:
@@ -158,7 +158,7 @@
     self._changed[name] = None
     return True
 
-  def find(self, api_key: str) -> Found | None:
+  def find(self, api_key: str) -> CallerEntry | None:
     """Returns the entry of `api_key`, or None."""
     key = digest(api_key)
     found = self._over.get(key)
