--- a/mustardfall/platform/documents.py
+++ b/mustardfall/platform/documents.py
@@ -221,7 +221,8 @@
       objective=_ms(data.slo_ms or data.timeout_ms),
       priority=data.priority or 0,
       split=tuple(
-          configuration.Share(share.service, share.weight) for share in split
+          configuration.WeightedService(share.service, share.weight)
+          for share in split
       ),
       max_attempts=data.max_attempts or 1,
       public=bool(data.public),
--- a/mustardfall/routing/configuration.py
+++ b/mustardfall/routing/configuration.py
@@ -20,7 +20,7 @@
   """Answered by events; runs once unless the route is resumable."""
 
 
-class Share(NamedTuple):
+class WeightedService(NamedTuple):
   """One service's part of a route's traffic."""
 
   service: str
@@ -40,7 +40,7 @@
   """Time to the answer, or a stream's first event, that callers want."""
   priority: int
   """0 is the most urgent."""
-  split: tuple[Share, ...]
+  split: tuple[WeightedService, ...]
   max_attempts: int
   """Endpoints that one request may be sent to."""
   public: bool
