--- a/mustardfall/api/calls.py
+++ b/mustardfall/api/calls.py
@@ -141,13 +141,13 @@
 
   def await_first_token(self) -> None:
     """Notes that a stream's first token is due, for the limits."""
-    self.row.awaiting[id(self)] = self._sent
+    self.row.awaiting_first_token[id(self)] = self._sent
 
   def release(self) -> None:
     """Gives the place back, if one is held."""
     if self.row is not None:
       row, self.row = self.row, None
-      row.awaiting.pop(id(self), None)
+      row.awaiting_first_token.pop(id(self), None)
       self.router.scheduler.release(row, self._want)
 
   def note_first_token(self, adapt_limit: bool = True) -> None:
@@ -165,7 +165,7 @@
         now - self._started, attributes(self.entry)
     )
     if adapt_limit and self.row is not None:
-      self.row.awaiting.pop(id(self), None)
+      self.row.awaiting_first_token.pop(id(self), None)
       self.router.endpoints.adapt_limit(self.row, now - self._sent, now)
 
   def settle(self, used: int | None, end: End) -> int:
--- a/mustardfall/routing/endpoints.py
+++ b/mustardfall/routing/endpoints.py
@@ -86,7 +86,9 @@
   failures: int = 0
   """Failures lately; decays each tick."""
   shrunk_at: float = -float("inf")
-  awaiting: dict[int, float] = dataclasses.field(default_factory=dict)
+  awaiting_first_token: dict[int, float] = dataclasses.field(
+      default_factory=dict
+  )
   """When each request without a first token yet was sent, by its id."""
   started_ms: int | None = None
   """When its process started, Unix ms, if the list tells."""
@@ -254,8 +256,8 @@
         if now - row.prefixes[oldest] < _CACHED_S:
           break
         del row.prefixes[oldest]
-      if row.awaiting:
-        waited = now - min(row.awaiting.values())
+      if row.awaiting_first_token:
+        waited = now - min(row.awaiting_first_token.values())
         if waited > self._config.target_s:
           self.adapt_limit(row, waited, now)
 
