--- a/mustardfall/proxy/forwarder.py
+++ b/mustardfall/proxy/forwarder.py
@@ -146,7 +146,7 @@
     return retries.burst_per_router(
         self._config.proxy.retry_burst,
         members_lib.CLOSE_FLEET,
-        self._fleet.most(),
+        self._fleet.peak(),
     )
 
   # Serving.
--- a/mustardfall/routing/retries.py
+++ b/mustardfall/routing/retries.py
@@ -50,7 +50,7 @@
     self._most = self._most_before = 0
     self._since = clock.monotonic()
 
-  def most(self) -> int:
+  def peak(self) -> int:
     """Returns the most of the last one to two minutes."""
     now = self._clock.monotonic()
     if now - self._since >= _FLEET_REMEMBERED_S:
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -78,12 +78,12 @@
     clock = clock_lib.FakeClock()
     up = [77]
     fleet = retries.FleetSize(clock, lambda: up[0])
-    self.assertEqual(77, fleet.most())
+    self.assertEqual(77, fleet.peak())
     up[0] = 50
     for _ in range(5):
       clock.advance(datetime.timedelta(seconds=10))
-      self.assertEqual(77, fleet.most())
+      self.assertEqual(77, fleet.peak())
     for _ in range(3):
       clock.advance(datetime.timedelta(seconds=60))
-      fleet.most()
-    self.assertEqual(50, fleet.most())
+      fleet.peak()
+    self.assertEqual(50, fleet.peak())
