--- a/mustardfall/routing/tracking.py
+++ b/mustardfall/routing/tracking.py
@@ -104,7 +104,7 @@
       endpoint: the endpoint's life.
       request: names the request among all routers.
       prefix: the prompt's prefix; empty: none.
-      reading_s: how long its prompt should take to read there.
+      prefill_s: how long its prompt should take to read there.
       now: the time.
     """
     found = self._find(endpoint, now)
--- a/tests/test_tracking.py
+++ b/tests/test_tracking.py
@@ -149,7 +149,7 @@
     """Guards against an endpoint that is passed over for one datagram."""
     tracker = tracking.Tracker()
     for prefill_s in (1e12, float("inf"), float("nan"), -1e12):
-      tracker.note_sent("i", f"r{reading_s}", "p", prefill_s, 10.0)
+      tracker.note_sent("i", f"r{prefill_s}", "p", prefill_s, 10.0)
     found = tracker.status_of("i", "p", 10.0)
     self.assertTrue(0.0 <= found.prefill_s <= 40.0, found)
 
