--- a/mustardfall/proxy/placer.py
+++ b/mustardfall/proxy/placer.py
@@ -90,7 +90,7 @@
 
   async def choose(self, job: job_lib.Job) -> placement.Placement | None:
     """Returns the endpoint that should answer soonest; None without any."""
-    rows = self._directory.endpoints.fitting(job.service.name, "")
+    rows = self._directory.endpoints.eligible(job.service.name, "")
     fresh = [row for row in rows if row.name not in job.tried]
     prompt = job_lib.prompt_of(job.request)
     if not self._trackers.is_used:
--- a/mustardfall/routing/endpoints.py
+++ b/mustardfall/routing/endpoints.py
@@ -154,7 +154,7 @@
     row = self.rows.get(life) or self.rows.get(life.rpartition(":")[0])
     return row if row is not None and row.life == life else None
 
-  def fitting(
+  def eligible(
       self, kind: str, model: str, avoid: frozenset[str] = frozenset()
   ) -> list[Row]:
     """Returns the live endpoints that could take a request.
@@ -192,7 +192,7 @@
     """
     fit = [
         r
-        for r in self.fitting(kind, model, avoid)
+        for r in self.eligible(kind, model, avoid)
         if r.in_flight < max(_MIN_LIMIT, r.limit * share)
     ]
     if not fit:
--- a/mustardfall/routing/scheduler.py
+++ b/mustardfall/routing/scheduler.py
@@ -106,7 +106,7 @@
 
     Whoever gets a row must `release` it.
     """
-    if not self._table.fitting(want.kind, want.model, avoid):
+    if not self._table.eligible(want.kind, want.model, avoid):
       return Shed("no endpoint can take this request now", 1.0)
     line = self._lines.setdefault((want.kind, want.model), _Line())
     waiter = _Waiter(want, avoid, anyio.Event())
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -58,7 +58,7 @@
   def test_leaving_endpoint_gets_nothing_more(self):
     self._read("a", times=4)
     self.known.take_endpoints(_hosts("a", state="leaving"))
-    self.assertEqual([], self.known.endpoints.fitting("pool", ""))
+    self.assertEqual([], self.known.endpoints.eligible("pool", ""))
 
   def test_entries_missing_right_after_an_outage_are_waited_for(self):
     # The store was away for eight seconds and entries lapsed meanwhile.
--- a/tests/test_server_entries.py
+++ b/tests/test_server_entries.py
@@ -141,8 +141,8 @@
   def read(self) -> list[str]:
     """Reads the list once; returns the servers that may get work."""
     anyio.run(self.followers.servers.read)
-    fitting = self.gateway.directory.endpoints.fitting("pool", "")
-    return sorted(row.name for row in fitting)
+    eligible = self.gateway.directory.endpoints.eligible("pool", "")
+    return sorted(row.name for row in eligible)
 
 
 class BadEntryTest(testtools.TestCase):
