--- a/mustardfall/bench/virtual/engines.py
+++ b/mustardfall/bench/virtual/engines.py
@@ -324,13 +324,11 @@
   for found in rounds:
     asked += found
     player.messages += len(found)
-    standings = {
+    statuses = {
         one.row.life: player.tracker.status_of(one.row.life, prompt.prefix, now)
         for one in asked
     }
-    place = placement.choose_tracked(
-        asked, standings, prompt, router.datacentre
-    )
+    place = placement.choose_tracked(asked, statuses, prompt, router.datacentre)
     if not placement.is_busy(place, prompt):
       break
   return place
--- a/mustardfall/proxy/placer.py
+++ b/mustardfall/proxy/placer.py
@@ -101,15 +101,15 @@
       self, rows: list[endpoints.Row], prompt: placement.Prompt
   ) -> placement.Placement | None:
     """Asks how a few endpoints stand, and some more where these are busy."""
-    place, asked, standings = None, [], {}
+    place, asked, statuses = None, [], {}
     rounds = placement.candidates(rows, prompt, self._datacentre, self._random)
     for found in rounds:
       asked += found
       lives = [one.row.life for one in found]
       if len(rows) > 1:
-        standings |= await self._trackers.survey(lives, prompt.prefix)
+        statuses |= await self._trackers.survey(lives, prompt.prefix)
       place = placement.choose_tracked(
-          asked, standings, prompt, self._datacentre
+          asked, statuses, prompt, self._datacentre
       )
       if place is None or not placement.is_busy(place, prompt):
         break
--- a/mustardfall/routing/placement.py
+++ b/mustardfall/routing/placement.py
@@ -161,7 +161,7 @@
 
 def choose_tracked(
     found: list[Candidate],
-    standings: Mapping[str, tracking.EndpointStatus],
+    statuses: Mapping[str, tracking.EndpointStatus],
     prompt: Prompt,
     datacentre: str,
 ) -> Placement | None:
@@ -174,26 +174,26 @@
     prompt: what the request shares.
     datacentre: the router's own.
   """
-  held = any(_is_held(one, standings, prompt) for one in found)
+  held = any(_is_held(one, statuses, prompt) for one in found)
   costs = [
-      (_tracked_cost_s(one, standings, held, prompt, datacentre), number)
+      (_tracked_cost_s(one, statuses, held, prompt, datacentre), number)
       for number, one in enumerate(found)
   ]
   if not costs:
     return None
   best = found[min(costs)[1]]
-  own_s = prefill_s(_is_held(best, standings, prompt), prompt)
+  own_s = prefill_s(_is_held(best, statuses, prompt), prompt)
   return Placement(
-      best.row, own_s, tracked_wait_s(best, standings, prompt) + own_s
+      best.row, own_s, tracked_wait_s(best, statuses, prompt) + own_s
   )
 
 
 def _is_held(
     one: Candidate,
-    standings: Mapping[str, tracking.EndpointStatus],
+    statuses: Mapping[str, tracking.EndpointStatus],
     prompt: Prompt,
 ) -> bool:
-  standing = standings.get(one.row.life)
+  standing = statuses.get(one.row.life)
   if standing is not None and standing.held:
     return True
   return holds(one.row, one.rank, prompt)
@@ -201,11 +201,11 @@
 
 def tracked_wait_s(
     one: Candidate,
-    standings: Mapping[str, tracking.EndpointStatus],
+    statuses: Mapping[str, tracking.EndpointStatus],
     prompt: Prompt,
 ) -> float:
   """Returns the seconds that what is at a candidate takes before a request."""
-  standing = standings.get(one.row.life)
+  standing = statuses.get(one.row.life)
   if standing is None:
     return wait_s(one.row, prompt)
   each_s = _DECODING_S if prompt.prefix else _RUNNING_S
@@ -214,23 +214,23 @@
 
 def _tracked_cost_s(
     one: Candidate,
-    standings: Mapping[str, tracking.EndpointStatus],
+    statuses: Mapping[str, tracking.EndpointStatus],
     held: bool,
     prompt: Prompt,
     datacentre: str,
 ) -> float:
   """Returns what choosing a candidate is held to cost, see `cost_s`."""
-  standing = standings.get(one.row.life)
+  standing = statuses.get(one.row.life)
   if standing is None:
     return cost_s(one.row, one.rank, held, prompt, datacentre)
-  is_held = _is_held(one, standings, prompt)
+  is_held = _is_held(one, statuses, prompt)
   read_s = prefill_s(is_held, prompt)
   cost = 0.0 if one.row.datacentre == datacentre else _FAR_S
   if not held:
     cost += min(one.rank, _MOST_RANKS) * _RANK_S
   elif not is_held:
     read_s *= _READ_AGAIN
-  wait = tracked_wait_s(one, standings, prompt)
+  wait = tracked_wait_s(one, statuses, prompt)
   return (
       cost + wait + standing.slowness * read_s + standing.failures * _FAILURE_S
   )
