--- a/mustardfall/routing/endpoints.py
+++ b/mustardfall/routing/endpoints.py
@@ -78,7 +78,7 @@
   """Seconds of prompts it has still to read for other routers."""
   prefixes: dict[str, float] = dataclasses.field(default_factory=dict)
   """Prompt prefixes that it was sent lately, and when, monotonic seconds."""
-  fresh: bool = False
+  cold_cache: bool = False
   """Whether it came after this router had its first list: its cache is empty
   but for what it was sent since."""
   slowness: float = 1.0
@@ -145,7 +145,7 @@
         models=list(host.get("models", [])),
         state=host.get("state", "live"),
         limit=self._config.initial_limit,
-        fresh=self._listed,
+        cold_cache=self._listed,
         started_ms=host.get("started_ms"),
     )
 
--- a/mustardfall/routing/placement.py
+++ b/mustardfall/routing/placement.py
@@ -94,7 +94,7 @@
   The first in the prefix's order is, unless it came only lately: it was
   sent the prefix before this router started.
   """
-  return prompt.prefix in row.prefixes or (rank == 0 and not row.fresh)
+  return prompt.prefix in row.prefixes or (rank == 0 and not row.cold_cache)
 
 
 def cost_s(
--- a/tests/test_server_entries.py
+++ b/tests/test_server_entries.py
@@ -211,7 +211,7 @@
     world.read()
     new = table.rows["a"]
     self.assertEqual(({}, 0, 0, 1.0, 0.0), _learnt(new))
-    self.assertTrue(new.fresh)
+    self.assertTrue(new.cold_cache)
     # Requests of the life before end on its row; late news are of it, too.
     old.in_flight -= 1
     table.note_prefix(old.life, "p", 0.0)
