--- a/mustardfall/routing/quarantine.py
+++ b/mustardfall/routing/quarantine.py
@@ -1,10 +1,9 @@
-"""Requests that end the endpoints that run them, kept from all others.
+"""Quarantine for requests that crash the endpoints that run them.
 
-The same request, sent again by its caller or by a router, would end one endpoint
-after the other, and with each what runs beside it. An endpoint that ends counts
-against all requests that ran there. Most of them only ran beside the one that
-ended it: they differ from it in that they ended few endpoints, or succeed at the
-next one.
+Retried by its caller or by a router, such a request would crash one endpoint
+after the other and abort the requests that run beside it. A crash counts
+against every request that was running on the endpoint. Most of these are
+innocent: they are involved in few crashes, or succeed at the next endpoint.
 """
 
 import collections
@@ -18,46 +17,46 @@
 logger = logging.getLogger(__name__)
 
 CRASH_LIMIT = 3
-"""Endpoints that end under a request before it is quarantined."""
+"""Crashes of endpoints running a request after which it is quarantined."""
 QUARANTINE_S = 600.0
-"""For which it is quarantined. Afterwards one more endpoint that ends under it
-has it quarantined again."""
-_REMEMBERED_S = 120.0
-"""How long an endpoint that ended counts, and a success speaks for a request."""
-_TOGETHER_S = 0.1
-"""Endpoints that end within such a time may end of one cause, a rack's power say.
-They count once against a request that ran on several of them at that time."""
-_MOST_ROWS = 4_096
-"""Suspected and quarantined requests known."""
-_MOST_OF_TEAM = 128
-"""Of these, of one team: a team that makes many of them pushes out its own."""
-_MOST_SOUND = 8_192
-"""Requests known to have succeeded lately."""
+"""How long a request is quarantined. After that, a single further crash
+quarantines it again."""
+_RETENTION_S = 120.0
+"""How long a crash counts against a request, and a success clears it."""
+_SAME_CAUSE_S = 0.1
+"""Crashes this close together may have one external cause, such as a rack losing
+power. They count once against a request that ran on several of the endpoints."""
+_MAX_ROWS = 4_096
+"""Suspected and quarantined requests kept."""
+_MAX_ROWS_PER_TEAM = 128
+"""Of these, for one team: a team that exceeds it evicts only its own rows."""
+_MAX_SUCCEEDED = 8_192
+"""Recently succeeded requests kept."""
 _DIGEST_BYTES = 12
 
 
 class Suspect(NamedTuple):
-  """What is told of a request whose endpoint has ended."""
+  """A report that an endpoint crashed while it ran a request."""
 
   fingerprint: str
   team: str
   endpoint: str
-  """The endpoint's life."""
+  """The endpoint's life, see `endpoints.Row.life`."""
   ran_s: float
-  """How long the request had been there."""
+  """How long the request had been running there."""
 
 
 class Verdict(NamedTuple):
-  """What is told of a quarantined request."""
+  """A report that a request is quarantined."""
 
   fingerprint: str
   team: str
   left_s: float
-  """Seconds until it may be tried again."""
+  """Seconds until it may be sent again; 0 or less: it is not quarantined."""
 
 
 def fingerprint(team: str, method: bytes, target: bytes, body: bytes) -> str:
-  """Returns what the same request of the same team has in common."""
+  """Returns a hash that is equal for repetitions of a team's request."""
   digest = hashlib.blake2b(digest_size=_DIGEST_BYTES)
   for part in (team.encode(), method, target):
     digest.update(b"%d:%b" % (len(part), part))
@@ -71,13 +70,13 @@
 
   team: str
   endpoints: set[str] = dataclasses.field(default_factory=set)
-  """Endpoints that ended under it."""
-  events: int = 0
-  """How often any did, those that ended together counted once."""
-  began_at: float = -float("inf")
-  """When the first endpoint of the last event ended."""
+  """Endpoints that crashed while they ran it."""
+  crashes: int = 0
+  """Crashes counted; those with a likely common cause count once."""
+  last_crash_at: float = -float("inf")
+  """When the last counted crash was reported."""
   until: float = -float("inf")
-  """Until when it is quarantined."""
+  """When its quarantine ends."""
 
 
 class Table:
@@ -90,70 +89,72 @@
   def __init__(self, clock: clock_lib.Clock) -> None:
     self._clock = clock
     self._rows: collections.OrderedDict[str, _Row] = collections.OrderedDict()
-    self._of_team: collections.Counter[str] = collections.Counter()
-    self._sound: collections.OrderedDict[str, float]
-    self._sound = collections.OrderedDict()
+    self._rows_per_team: collections.Counter[str] = collections.Counter()
+    self._succeeded_at: collections.OrderedDict[str, float]
+    self._succeeded_at = collections.OrderedDict()
 
   def left_s(self, fingerprint_: str) -> float:
-    """Returns for how long a request is still quarantined; 0: it is not."""
+    """Returns the seconds of quarantine left for a request, 0 if none."""
     row = self._rows.get(fingerprint_)
     if row is None:
       return 0.0
     return max(0.0, row.until - self._clock.monotonic())
 
   def note_end(self, suspect: Suspect) -> bool:
-    """Notes that an endpoint ended while it ran a request.
+    """Records that an endpoint crashed while it ran a request.
 
     Returns:
-      Whether the request is quarantined for it.
+      Whether this put the request into quarantine.
     """
-    if self._is_sound(suspect.fingerprint):
+    if self._succeeded_recently(suspect.fingerprint):
       return False
     now = self._clock.monotonic()
     row = self._row(suspect.fingerprint, suspect.team)
     was_quarantined = row.until > -float("inf")
-    since_s = now - row.began_at
-    if since_s > _REMEMBERED_S and not was_quarantined:
+    since_last_s = now - row.last_crash_at
+    if since_last_s > _RETENTION_S and not was_quarantined:
       row.endpoints.clear()
-      row.events = 0
+      row.crashes = 0
     if suspect.endpoint in row.endpoints or row.until > now:
       return False
     row.endpoints.add(suspect.endpoint)
-    if since_s > min(_TOGETHER_S, suspect.ran_s):
-      row.events += 1
-      row.began_at = now
-    if row.events < CRASH_LIMIT and not was_quarantined:
+    if since_last_s > min(_SAME_CAUSE_S, suspect.ran_s):
+      row.crashes += 1
+      row.last_crash_at = now
+    if row.crashes < CRASH_LIMIT and not was_quarantined:
       return False
     self._quarantine(suspect.fingerprint, row, QUARANTINE_S)
     return True
 
   def note_success(self, fingerprint_: str) -> bool:
-    """Notes that an endpoint ran a request to its end.
+    """Records that an endpoint completed a request.
 
     Returns:
-      Whether it was suspected until now.
+      Whether the request was suspected until now.
     """
-    self._sound.pop(fingerprint_, None)
-    self._sound[fingerprint_] = self._clock.monotonic()
-    if len(self._sound) > _MOST_SOUND:
-      self._sound.popitem(last=False)
+    self._succeeded_at.pop(fingerprint_, None)
+    self._succeeded_at[fingerprint_] = self._clock.monotonic()
+    if len(self._succeeded_at) > _MAX_SUCCEEDED:
+      self._succeeded_at.popitem(last=False)
     return self._drop(fingerprint_)
 
-  def _is_sound(self, fingerprint_: str) -> bool:
-    """Whether an endpoint lately ran the request to its end."""
-    ran_at = self._sound.get(fingerprint_, -float("inf"))
-    return self._clock.monotonic() - ran_at < _REMEMBERED_S
+  def _succeeded_recently(self, fingerprint_: str) -> bool:
+    """Whether an endpoint recently completed the request."""
+    ran_at = self._succeeded_at.get(fingerprint_, -float("inf"))
+    return self._clock.monotonic() - ran_at < _RETENTION_S
 
   def take(self, verdict: Verdict) -> bool:
-    """Takes another router's word that a request is quarantined, or sound.
+    """Applies another router's verdict on a request.
 
     Returns:
-      Whether the request is quarantined for it.
+      Whether this put the request into quarantine.
     """
     if verdict.left_s <= 0:
       self.note_success(verdict.fingerprint)
       return False
-    if self._is_sound(verdict.fingerprint) or self.left_s(verdict.fingerprint):
+    if self._succeeded_recently(verdict.fingerprint) or self.left_s(
+        verdict.fingerprint
+    ):
       return False
     row = self._row(verdict.fingerprint, verdict.team)
     self._quarantine(
@@ -162,7 +163,7 @@
     return True
 
   def verdicts(self) -> list[Verdict]:
-    """Returns the quarantined requests, the latest first."""
+    """Returns the quarantined requests, the most recent first."""
     now = self._clock.monotonic()
     return [
         Verdict(key, row.team, round(row.until - now, 1))
@@ -171,26 +172,27 @@
     ]
 
   def _row(self, fingerprint_: str, team: str) -> _Row:
-    """Returns a request's row, made if there is none; makes room for it."""
+    """Returns a request's row; adds it, evicting another, if missing."""
     row = self._rows.get(fingerprint_)
     if row is None:
-      if self._of_team[team] >= _MOST_OF_TEAM:
+      if self._rows_per_team[team] >= _MAX_ROWS_PER_TEAM:
         oldest = next(k for k, r in self._rows.items() if r.team == team)
         self._drop(oldest)
-      elif len(self._rows) >= _MOST_ROWS:
+      elif len(self._rows) >= _MAX_ROWS:
         self._drop(next(iter(self._rows)))
       row = self._rows[fingerprint_] = _Row(team)
-      self._of_team[team] += 1
+      self._rows_per_team[team] += 1
     self._rows.move_to_end(fingerprint_)
     return row
 
   def _drop(self, fingerprint_: str) -> bool:
+    """Removes a request's row; returns whether there was one."""
     row = self._rows.pop(fingerprint_, None)
     if row is None:
       return False
-    self._of_team[row.team] -= 1
-    if not self._of_team[row.team]:
-      del self._of_team[row.team]
+    self._rows_per_team[row.team] -= 1
+    if not self._rows_per_team[row.team]:
+      del self._rows_per_team[row.team]
     return True
 
   def _quarantine(self, fingerprint_: str, row: _Row, term_s: float) -> None:
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Which requests are kept from endpoints, and which only ran beside them."""
+"""Which requests are quarantined, and which only ran beside these."""
 
 import datetime
 
@@ -17,81 +17,81 @@
     self.clock = clock_lib.FakeClock()
     self.table = quarantine.Table(self.clock)
 
-  def _pass(self, seconds):
+  def _advance(self, seconds):
     self.clock.advance(datetime.timedelta(seconds=seconds))
 
-  def _end(self, request, endpoint, team="acme", ran_s=_RAN_S):
+  def _crash(self, request, endpoint, team="acme", ran_s=_RAN_S):
     suspect = quarantine.Suspect(request, team, endpoint, ran_s)
     return self.table.note_end(suspect)
 
-  def _end_apart(self, request, number, team="acme"):
-    """Has endpoints end one after the other under one request."""
+  def _crash_apart(self, request, number, team="acme"):
+    """Has endpoints that run one request crash one after the other."""
     found = []
     for n in range(number):
-      self._pass(1.0)
-      found.append(self._end(request, f"{request}-{n}", team))
+      self._advance(1.0)
+      found.append(self._crash(request, f"{request}-{n}", team))
     return found
 
-  def test_request_that_ends_three_endpoints_is_quarantined(self):
-    self.assertEqual([False, False, True], self._end_apart("x", 3))
+  def test_request_that_crashes_three_endpoints_is_quarantined(self):
+    self.assertEqual([False, False, True], self._crash_apart("x", 3))
     self.assertEqual(quarantine.QUARANTINE_S, self.table.left_s("x"))
-    self._pass(quarantine.QUARANTINE_S + 1)
+    self._advance(quarantine.QUARANTINE_S + 1)
     self.assertEqual(0, self.table.left_s("x"))
 
-  def test_request_that_comes_again_after_its_term_has_one_try(self):
-    self._end_apart("x", 3)
-    self._pass(quarantine.QUARANTINE_S + 1)
-    self.assertTrue(self._end("x", "again"))
+  def test_one_crash_after_the_quarantine_renews_it(self):
+    self._crash_apart("x", 3)
+    self._advance(quarantine.QUARANTINE_S + 1)
+    self.assertTrue(self._crash("x", "again"))
     self.assertTrue(self.table.left_s("x") > 0)
 
-  def test_endpoint_that_many_routers_see_end_counts_once(self):
+  def test_crash_reported_by_many_routers_counts_once(self):
     for _ in range(9):
-      self._pass(0.2)
-      self.assertFalse(self._end("x", "one"))
+      self._advance(0.2)
+      self.assertFalse(self._crash("x", "one"))
 
-  def test_rack_that_ends_condemns_nothing_that_ran_there(self):
-    """Guards against refusing what is asked often for a loss of power."""
+  def test_rack_failure_quarantines_no_request(self):
+    """Guards against quarantining a frequent request when a rack loses power."""
     for endpoint in range(20):
-      self._pass(0.003)
-      self.assertFalse(self._end("popular", f"e{endpoint}"))
+      self._advance(0.003)
+      self.assertFalse(self._crash("popular", f"e{endpoint}"))
     self.assertEqual(0, self.table.left_s("popular"))
 
-  def test_retries_that_follow_at_once_are_counted_each(self):
-    """Guards against one attempt that ends all the endpoints it may try."""
+  def test_crashes_of_immediate_retries_count_each(self):
+    """Guards against one request whose quick retries crash endpoint after endpoint."""
     found = []
     for endpoint in range(3):
-      self._pass(0.02)
-      found.append(self._end("x", f"e{endpoint}", ran_s=0.015))
+      self._advance(0.02)
+      found.append(self._crash("x", f"e{endpoint}", ran_s=0.015))
     self.assertEqual([False, False, True], found)
 
-  def test_request_that_succeeds_next_is_not_suspected(self):
-    """Guards against refusing those that ran beside one that ends endpoints."""
-    self._end_apart("beside", 2)
+  def test_success_clears_a_suspected_request(self):
+    """Guards against quarantining a request that ran beside a crashing one."""
+    self._crash_apart("beside", 2)
     self.assertTrue(self.table.note_success("beside"))
-    self.assertEqual([False] * 4, self._end_apart("beside", 4))
+    self.assertEqual([False] * 4, self._crash_apart("beside", 4))
 
-  def test_ends_long_ago_do_not_count(self):
-    self._end_apart("x", 2)
-    self._pass(1_000)
-    self.assertEqual([False, False, True], self._end_apart("x", 3))
+  def test_old_crashes_do_not_count(self):
+    self._crash_apart("x", 2)
+    self._advance(1_000)
+    self.assertEqual([False, False, True], self._crash_apart("x", 3))
 
-  def test_team_that_makes_many_pushes_out_its_own_only(self):
-    """Guards against a team that has another's requests forgotten."""
-    self._end_apart("other", 3, team="other")
+  def test_team_over_its_limit_evicts_only_its_own_rows(self):
+    """Guards against a team whose many requests evict another team's rows."""
+    self._crash_apart("other", 3, team="other")
     for number in range(1_000):
-      self._end(f"many{number}", "e", team="many")
+      self._crash(f"many{number}", "e", team="many")
     self.assertTrue(self.table.left_s("other") > 0)
-    self.assertTrue(len(self.table._rows) <= 1 + quarantine._MOST_OF_TEAM)
+    self.assertTrue(len(self.table._rows) <= 1 + quarantine._MAX_ROWS_PER_TEAM)
 
   def test_tables_are_bounded(self):
-    for number in range(quarantine._MOST_ROWS + 500):
-      self._end(f"x{number}", "e", team=f"t{number}")
-    for number in range(quarantine._MOST_SOUND + 500):
+    for number in range(quarantine._MAX_ROWS + 500):
+      self._crash(f"x{number}", "e", team=f"t{number}")
+    for number in range(quarantine._MAX_SUCCEEDED + 500):
       self.table.note_success(f"s{number}")
-    self.assertTrue(len(self.table._rows) <= quarantine._MOST_ROWS)
-    self.assertTrue(len(self.table._sound) <= quarantine._MOST_SOUND)
+    self.assertTrue(len(self.table._rows) <= quarantine._MAX_ROWS)
+    self.assertTrue(len(self.table._succeeded_at) <= quarantine._MAX_SUCCEEDED)
 
-  def test_fingerprint_tells_teams_paths_and_bodies_apart(self):
+  def test_fingerprint_depends_on_team_method_path_and_body(self):
     given = ("acme", b"POST", b"/a", b"body")
     found = {quarantine.fingerprint(*given)}
     for n, other in enumerate(("b", b"PUT", b"/b", b"bod")):
@@ -99,7 +99,7 @@
     self.assertEqual(5, len(found))
     self.assertIn(quarantine.fingerprint(*given), found)
 
-  def test_verdict_of_another_router_holds_here(self):
+  def test_verdict_of_another_router_is_applied(self):
     verdict = quarantine.Verdict("x", "acme", 30.0)
     self.assertTrue(self.table.take(verdict))
     self.assertFalse(self.table.take(verdict._replace(left_s=90.0)))
