--- a/mustardfall/routing/hostlist.py
+++ b/mustardfall/routing/hostlist.py
@@ -1,7 +1,7 @@
-"""Reads the host list over HTTP, for the table of endpoints.
+"""Polls the host list over HTTP, for the table of endpoints.
 
-Polled each tick with a conditional GET, so that an unchanged list costs a
-header.
+Each tick sends a conditional GET, so that an unchanged list costs only the
+response's headers.
 """
 
 import httpx
@@ -10,7 +10,7 @@
 
 
 class Poller:
-  """Reads the host list, asking only for what changed.
+  """Polls the host list.
 
   Args:
     http: an HTTP client.
@@ -23,12 +23,12 @@
     self._etag = ""
 
   async def poll(self) -> list[endpoints.Host] | None:
-    """Returns the list's entries, or None when it has not changed.
+    """Returns the entries of the list, or None if it has not changed.
 
     Raises:
-      httpx.HTTPError: no answer, or an error.
-      ValueError: the answer is not the list.
-      KeyError: likewise.
+      httpx.HTTPError: the request failed or was answered with an error status.
+      ValueError: the response is not JSON.
+      KeyError: the response has no "hosts".
     """
     headers = {"if-none-match": self._etag} if self._etag else {}
     reply = await self._http.get(self._url, headers=headers, timeout=2.0)
--- a/mustardfall/routing/retries.py
+++ b/mustardfall/routing/retries.py
@@ -1,8 +1,8 @@
-"""A budget for retries, so that a fleet in trouble is not multiplied.
+"""A retry budget, which keeps retries from overloading failing endpoints.
 
-When endpoints fail, every router retries; without a bound three tries a
-request triple the load just when there is least room. A retry is paid
-from a store that requests fill a little each.
+When endpoints fail, every router retries; without a bound, three attempts per
+request triple the load when there is the least capacity for it. The budget is
+a token bucket: each request adds a fraction of a retry, each retry takes one.
 """
 
 from collections.abc import Callable
@@ -10,62 +10,65 @@
 from mustardfall.util import clock as clock_lib
 
 _RATIO = 0.2
-"""Retries allowed per request, over time."""
+"""Retries added to the budget by each request."""
 _BURST = 20.0
-"""Retries that may be saved up."""
-_LEAST_BURST = 1.0
-"""A router that could not save up one retry would never make any."""
-_START_SHARE = 0.25
-"""Part of its burst that a router starts with. With all of it, a fleet that is
-killed again and again would make its burst anew each time."""
-_FLEET_REMEMBERED_S = 60.0
-"""How long a larger fleet is remembered at least."""
+"""Retries that the budget holds at most."""
+_MIN_BURST = 1.0
+"""A budget that cannot hold one whole retry would never allow any."""
+_INITIAL_SHARE = 0.25
+"""Part of the burst that a router starts with. If it were the whole burst, a
+fleet that is killed repeatedly would spend a full burst after each start."""
+_FLEET_WINDOW_S = 60.0
+"""How long the largest fleet size seen is kept, at least."""
 
 
 def burst_per_router(burst: float, planned: int, routers: int) -> float:
-  """Returns the retries that one router of a fleet may save up.
+  """Returns one router's share of the fleet's retry burst.
+
+  The burst of the whole fleet does not grow beyond `burst * planned`.
 
   Args:
-    burst: what it may in a fleet of the size that was planned with.
-    planned: routers of that fleet.
-    routers: those that are up. More of them save up no more together.
+    burst: the retries per router in a fleet of `planned` routers.
+    planned: the number of routers that the burst was chosen for.
+    routers: the number of routers that are up.
   """
-  return max(_LEAST_BURST, burst * planned / max(planned, routers))
+  return max(_MIN_BURST, burst * planned / max(planned, routers))
 
 
 class FleetSize:
-  """The most routers that were up lately.
+  """The largest number of routers that were recently up.
 
-  Leases lapse while the store refuses hosts that go on serving. Were these
-  left out, the others would divide the fleet's retries among too few.
+  When the store refuses a host, its lease expires although it goes on serving
+  and retrying. Not counting such hosts would make the others' shares of the
+  fleet's retries too large.
 
   Args:
     clock: the time source.
-    count: returns how many routers are known to be up.
+    count: returns the number of routers currently known to be up.
   """
 
   def __init__(self, clock: clock_lib.Clock, count: Callable[[], int]) -> None:
     self._clock = clock
     self._count = count
-    self._most = self._most_before = 0
-    self._since = clock.monotonic()
+    self._max_up = self._previous_max_up = 0
+    self._window_began_at = clock.monotonic()
 
   def peak(self) -> int:
-    """Returns the most of the last one to two minutes."""
+    """Returns the largest count of the last one to two minutes."""
     now = self._clock.monotonic()
-    if now - self._since >= _FLEET_REMEMBERED_S:
-      self._most_before, self._most = self._most, 0
-      self._since = now
-    self._most = max(self._most, self._count())
-    return max(self._most, self._most_before)
+    if now - self._window_began_at >= _FLEET_WINDOW_S:
+      self._previous_max_up, self._max_up = self._max_up, 0
+      self._window_began_at = now
+    self._max_up = max(self._max_up, self._count())
+    return max(self._max_up, self._previous_max_up)
 
 
 class RetryBudget:
-  """Counts what may be retried.
+  """A token bucket of retries.
 
   Args:
-    ratio: retries allowed per request, over time.
-    burst: returns the retries that may be saved up at present.
+    ratio: retries added by each request.
+    burst: returns the retries that the bucket currently holds at most.
   """
 
   def __init__(
@@ -75,15 +78,15 @@
   ) -> None:
     self._ratio = ratio
     self._burst = burst
-    self._saved = burst() * _START_SHARE
+    self._balance = burst() * _INITIAL_SHARE
 
   def deposit(self) -> None:
-    """Counts one request."""
-    self._saved = min(self._burst(), self._saved + self._ratio)
+    """Adds the retries that one request allows."""
+    self._balance = min(self._burst(), self._balance + self._ratio)
 
   def withdraw(self) -> bool:
-    """Returns whether one retry may be made, and pays for it."""
-    if self._saved < 1.0:
+    """Takes one retry from the budget; returns False if there is none."""
+    if self._balance < 1.0:
       return False
-    self._saved -= 1.0
+    self._balance -= 1.0
     return True
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -1,8 +1,7 @@
-"""Second sends of a whole fleet stay within what its endpoints can take.
+"""The retries of a whole fleet stay within what its endpoints can take.
 
-Pattern: servers fail part of their requests for some seconds while 195 routers
-send to them. What all routers together may send once more does not grow with
-their number.
+Servers fail part of their requests for some seconds while 195 routers send to
+them. The retries of all routers together must not grow with their number.
 """
 
 import datetime
@@ -14,7 +13,7 @@
 from mustardfall.util import clock as clock_lib
 
 _SLACK = 430.0
-"""Second sends that a service bears at once, beside a part of its requests."""
+"""Retries that a service takes at once, in addition to a share of its requests."""
 _SAFETY = 0.75
 _RATIO = 0.2
 
@@ -25,10 +24,10 @@
     """Returns the retries of a fleet all of whose requests fail.
 
     Args:
-      routers: how many there are.
-      requests_each: what each is sent.
-      lives: how often all are started within that; the first life has saved
-        up all that it may.
+      routers: the number of routers.
+      requests_each: requests that each router is sent.
+      lives: how often all routers are started during these requests; in the
+        first life their budgets are full.
     """
     burst = _SLACK * _SAFETY / members_lib.CLOSE_FLEET
     made = 0
@@ -48,20 +47,20 @@
     return made
 
   def test_retries_of_a_fleet_do_not_grow_with_its_routers(self):
-    """Guards against a storm of second sends when all routers' servers fail."""
+    """Guards against a retry storm when the servers of all routers fail."""
     for routers, each in ((9, 68), (77, 34), (195, 12), (300, 8)):
       made = self._made(routers, each)
       allowed = _RATIO * routers * each + _SLACK
       self.assertTrue(made <= allowed, (routers, made, allowed))
 
-  def test_routers_that_start_again_add_no_retries(self):
-    """Guards against a storm of second sends when routers die in series."""
+  def test_restarted_routers_add_no_retries(self):
+    """Guards against a retry storm when routers are killed repeatedly."""
     for routers, each in ((9, 68), (77, 40), (195, 12)):
       made = self._made(routers, each, lives=4)
       allowed = _RATIO * routers * each + _SLACK
       self.assertTrue(made <= allowed, (routers, made, allowed))
 
-  def test_one_retry_can_always_be_saved_up(self):
+  def test_every_budget_holds_at_least_one_retry(self):
     budget = retries.RetryBudget(
         0.15,
         lambda: retries.burst_per_router(27.0, 12, 5_000),
@@ -73,8 +72,8 @@
       self.assertTrue(budget.withdraw())
     self.assertFalse(budget.withdraw())
 
-  def test_fleet_whose_leases_lapse_saves_up_no_more(self):
-    """Guards against a third that is cut off and the others saving up for it."""
+  def test_expired_leases_do_not_raise_the_burst(self):
+    """Guards against counting out routers that the store refuses but that serve."""
     clock = clock_lib.FakeClock()
     up = [77]
     fleet = retries.FleetSize(clock, lambda: up[0])
