--- a/mustardfall/routing/endpoints.py
+++ b/mustardfall/routing/endpoints.py
@@ -1,7 +1,8 @@
-"""The table of endpoints a router knows, and the choice among them.
+"""The table of the endpoints that a router knows, and the choice among them.
 
-Rows come from a list of hosts, whoever reads it: `hostlist` or an adapter.
-A router's own count of requests in flight is used, since reported load lags.
+Its rows are updated from a list of hosts, read by `hostlist` or by a platform's
+adapter. The choice uses the router's own count of requests in flight, since the
+load that endpoints report lags behind.
 """
 
 import dataclasses
@@ -12,35 +13,36 @@
 
 logger = logging.getLogger(__name__)
 
-_GROWTH = 1.0
-"""Requests by which a limit grows per limit's worth of quick answers."""
-_SHRINK = 0.8
-"""Factor by which a limit shrinks after a slow first token."""
+_LIMIT_INCREASE = 1.0
+"""Requests added to a limit after as many timely answers as the limit allows."""
+_LIMIT_DECREASE = 0.8
+"""Factor applied to a limit after a late first token."""
 _MIN_LIMIT = 1.0
-_LEAST_EXPECTED_S = 0.05
-"""Shorter expectations are all noise: a step of a batch, the way there."""
-_MOST_SLOWNESS = 6.0
-"""Most that one answer counts as slower or faster than expected."""
+_MIN_EXPECTED_S = 0.05
+"""Expected times are raised to this; in shorter ones, batch steps and network
+latency outweigh the endpoint's speed."""
+_MAX_RATIO = 6.0
+"""Limits how much slower or faster than expected one answer counts."""
 _SLOWNESS_WEIGHT = 0.15
-"""Weight of the newest answer; an engine answers a router about once a
-second, so six of them make up what is believed."""
+"""Weight of the newest answer in the moving average. An engine answers a router
+about once a second, so the average covers about six seconds."""
 _SLOWNESS_DECAY = 0.02
-"""What is forgotten of it each tick: an endpoint that was slow and is passed
-over must be tried again within half a minute."""
-_CACHED_S = 15.0
-"""How long an unused prefix is taken to stay in an engine's cache. With 20,000
-new tokens a second, 384,000 tokens of memory are written over in 19 s."""
-_STALE = 0.5
-"""What is left of a reported load after a tick: engines turn over most of
-their requests in a second."""
+"""Part of the deviation from 1 that is removed each tick: a slow endpoint gets no
+requests and so no measurements, and must be tried again within half a minute."""
+_CACHE_LIFETIME_S = 15.0
+"""How long an unused prefix is assumed to stay in an engine's cache. At 20,000 new
+tokens a second, a cache of 384,000 tokens is overwritten in 19 s."""
+_LOAD_DECAY = 0.5
+"""Factor applied to a reported load each tick: engines complete most of their
+requests within a second."""
 
 
 State = Literal["live", "leaving", "unusable"]
-"""`unusable`: its entry in the list makes no sense."""
+"""`unusable`: the endpoint's entry in the list is invalid."""
 
 
 class Host(TypedDict):
-  """An endpoint as a list of hosts shows it."""
+  """An endpoint's entry in a list of hosts."""
 
   name: str
   url: str
@@ -48,9 +50,9 @@
   kind: str
   models: NotRequired[list[str]]
   state: NotRequired[State]
-  """Live when left out."""
+  """Defaults to `live`."""
   started_ms: NotRequired[int | None]
-  """Unix ms at which it started, where the list tells."""
+  """When its process started, Unix ms, if the list says so."""
 
 
 @dataclasses.dataclass
@@ -64,45 +66,46 @@
   models: list[str]
   state: State
   limit: float
-  """Requests this router keeps in flight there at most; steered."""
+  """Most requests that this router has in flight there; see `adapt_limit`."""
   in_flight: int = 0
   running: float = 0.0
-  """Requests at work there, of all routers, as it last said; decays."""
+  """Requests running there, of all routers, as last reported; decays."""
   waiting: float = 0.0
-  """Requests that waited there, as it last said; decays."""
+  """Requests queued there, of all routers, as last reported; decays."""
   prefill_s: float = 0.0
-  """Seconds of prompts it has still to read for this router."""
+  """Seconds of prefill pending there for this router's requests."""
   others_in_flight: int = 0
-  """Requests that other routers have in flight there, as they tell."""
+  """Requests that other routers report to have in flight there."""
   others_reading_s: float = 0.0
-  """Seconds of prompts it has still to read for other routers."""
+  """Seconds of prefill that other routers report as pending there."""
   prefixes: dict[str, float] = dataclasses.field(default_factory=dict)
-  """Prompt prefixes that it was sent lately, and when, monotonic seconds."""
+  """Prompt prefixes recently sent to it, and when, monotonic seconds."""
   cold_cache: bool = False
-  """Whether it came after this router had its first list: its cache is empty
-  but for what it was sent since."""
+  """Whether it was first listed after this router's first list. Its cache then
+  holds only prefixes that were sent since."""
   slowness: float = 1.0
-  """Its time to a first token against what was expected, lately."""
+  """Moving average of the time to first token, relative to the expected one."""
   failures: int = 0
-  """Failures lately; decays each tick."""
-  shrunk_at: float = -float("inf")
+  """Recent failures; decreases by one each tick."""
+  limit_decreased_at: float = -float("inf")
+  """When the limit was last decreased, monotonic seconds."""
   awaiting_first_token: dict[int, float] = dataclasses.field(
       default_factory=dict
   )
-  """When each request without a first token yet was sent, by its id."""
+  """When each request that has no first token yet was sent, by its id."""
   started_ms: int | None = None
-  """When its process started, Unix ms, if the list tells."""
+  """When its process started, Unix ms, if the list says so."""
 
   @property
   def life(self) -> str:
-    """Names this start of it: it may start again under its name."""
+    """Identifies this run of the endpoint's process, unlike its name."""
     if self.started_ms is None:
       return self.name
     return f"{self.name}:{self.started_ms}"
 
   @property
-  def room(self) -> float:
-    """Requests it may still be given."""
+  def free_capacity(self) -> float:
+    """Requests that this router may still send there."""
     return self.limit - self.in_flight
 
 
@@ -110,33 +113,33 @@
   """Endpoints by name.
 
   Args:
-    config: how their limits are steered.
-    cold: whether the caches of those listed first are empty, too.
+    config: settings of the concurrency limits.
+    cold: whether endpoints of the first list have empty caches, too.
   """
 
   def __init__(self, config: settings.Scheduler, cold: bool = False) -> None:
     self._config = config
     self.rows: dict[str, Row] = {}
-    self._listed = cold
+    self._cold_when_listed = cold
 
   def update(self, hosts: list[Host]) -> bool:
-    """Takes the host list's entries; returns whether any row changed."""
+    """Applies a complete host list; returns whether any row changed."""
     changed = False
     for host in hosts:
       row = self.rows.get(host["name"])
-      if row is None or _started_again(row, host):
-        self.rows[host["name"]] = self._row(host)
+      if row is None or _has_restarted(row, host):
+        self.rows[host["name"]] = self._new_row(host)
         _log("endpoint listed", self.rows[host["name"]])
         changed = True
       else:
-        changed |= _take(row, host)
+        changed |= _apply_host(row, host)
     for name in self.rows.keys() - {host["name"] for host in hosts}:
       _log("endpoint gone", self.rows.pop(name))
       changed = True
-    self._listed = self._listed or bool(hosts)
+    self._cold_when_listed = self._cold_when_listed or bool(hosts)
     return changed
 
-  def _row(self, host: Host) -> Row:
+  def _new_row(self, host: Host) -> Row:
     return Row(
         name=host["name"],
         url=host["url"],
@@ -145,23 +148,23 @@
         models=list(host.get("models", [])),
         state=host.get("state", "live"),
         limit=self._config.initial_limit,
-        cold_cache=self._listed,
+        cold_cache=self._cold_when_listed,
         started_ms=host.get("started_ms"),
     )
 
   def find_life(self, life: str) -> Row | None:
-    """Returns the row of an endpoint's start, None when it is not listed."""
+    """Returns the row with this `life`, or None if it is not listed."""
     row = self.rows.get(life) or self.rows.get(life.rpartition(":")[0])
     return row if row is not None and row.life == life else None
 
   def eligible(
       self, kind: str, model: str, avoid: frozenset[str] = frozenset()
   ) -> list[Row]:
-    """Returns the live endpoints that could take a request.
+    """Returns the live endpoints that can serve a request.
 
     Args:
       kind: "engine" or "service".
-      model: the model wanted (engines only).
+      model: the requested model (engines only).
       avoid: endpoints already tried for this request.
     """
     return [
@@ -181,24 +184,24 @@
       avoid: frozenset[str],
       share: float = 1.0,
   ) -> Row | None:
-    """Returns the least busy endpoint with room, own data centre first.
+    """Returns the least busy endpoint below its limit, or None.
 
     Args:
-      kind: see `fitting`.
-      model: see `fitting`.
-      datacentre: the router's own; nearer endpoints win ties.
-      avoid: see `fitting`.
-      share: part of each limit that this request may fill.
+      kind: see `eligible`.
+      model: see `eligible`.
+      datacentre: the router's own; its endpoints win ties.
+      avoid: see `eligible`.
+      share: the part of each limit that is available to this request.
     """
-    fit = [
+    free = [
         r
         for r in self.eligible(kind, model, avoid)
         if r.in_flight < max(_MIN_LIMIT, r.limit * share)
     ]
-    if not fit:
+    if not free:
       return None
     return min(
-        fit,
+        free,
         key=lambda r: (
             (r.in_flight + 1) / r.limit + r.failures,
             r.datacentre != datacentre,
@@ -206,23 +209,23 @@
     )
 
   def adapt_limit(self, row: Row, first_token_s: float, now: float) -> None:
-    """Moves a row's limit by how soon a first token came.
+    """Adjusts a row's limit to the time that a first token took.
 
-    Additive increase and multiplicative decrease: routers that share an
-    engine settle on a fair part each without talking to each other. One
-    decrease per target time, since answers in flight then were sent
-    under the old limit.
+    Additive increase and multiplicative decrease make the routers that share
+    an engine converge to equal limits without exchanging messages. The limit
+    is decreased at most once per target time, since the requests in flight
+    were sent under the previous limit.
     """
     if first_token_s <= self._config.target_s:
-      if row.room <= 1:
-        grown = row.limit + _GROWTH / row.limit
+      if row.free_capacity <= 1:
+        grown = row.limit + _LIMIT_INCREASE / row.limit
         row.limit = min(self._config.max_limit, grown)
-    elif now - row.shrunk_at >= self._config.target_s:
-      row.limit = max(_MIN_LIMIT, row.limit * _SHRINK)
-      row.shrunk_at = now
+    elif now - row.limit_decreased_at >= self._config.target_s:
+      row.limit = max(_MIN_LIMIT, row.limit * _LIMIT_DECREASE)
+      row.limit_decreased_at = now
 
   def note_prefix(self, life: str, prefix: str, now: float) -> None:
-    """Notes that an endpoint was sent a prompt with `prefix`."""
+    """Records that a prompt with `prefix` was sent to an endpoint."""
     row = self.find_life(life)
     if row is not None and prefix:
       row.prefixes.pop(prefix, None)
@@ -231,29 +234,29 @@
   def update_slowness(
       self, row: Row, expected_s: float, first_token_s: float
   ) -> None:
-    """Learns how an endpoint's time compares with what was expected.
+    """Updates an endpoint's slowness with one measured time to first token.
 
-    Some are a third slower than others, and one in trouble is several
-    times slower while its health is good.
+    Some endpoints are a third slower than others, and a faulty one may be
+    several times slower while its health checks pass.
     """
-    ratio = first_token_s / max(expected_s, _LEAST_EXPECTED_S)
-    ratio = min(max(ratio, 1 / _MOST_SLOWNESS), _MOST_SLOWNESS)
+    ratio = first_token_s / max(expected_s, _MIN_EXPECTED_S)
+    ratio = min(max(ratio, 1 / _MAX_RATIO), _MAX_RATIO)
     row.slowness += _SLOWNESS_WEIGHT * (ratio - row.slowness)
 
   def tick(self, now: float) -> None:
-    """Forgets failures, one a tick, and notes overdue first tokens.
+    """Ages what is known of the endpoints; call once per tick.
 
-    A first token that is overdue says now what it would say on arrival,
-    when many more requests would have been sent after it.
+    The limit of an endpoint whose first token is overdue is decreased now and
+    not when the token arrives, before many more requests are sent there.
     """
     for row in self.rows.values():
       row.failures = max(0, row.failures - 1)
-      row.running *= _STALE
-      row.waiting *= _STALE
+      row.running *= _LOAD_DECAY
+      row.waiting *= _LOAD_DECAY
       row.slowness += _SLOWNESS_DECAY * (1.0 - row.slowness)
       while row.prefixes:
         oldest = next(iter(row.prefixes))
-        if now - row.prefixes[oldest] < _CACHED_S:
+        if now - row.prefixes[oldest] < _CACHE_LIFETIME_S:
           break
         del row.prefixes[oldest]
       if row.awaiting_first_token:
@@ -262,19 +265,19 @@
           self.adapt_limit(row, waited, now)
 
 
-def _started_again(row: Row, host: Host) -> bool:
-  """Whether `host` is a later start of the endpoint in `row`.
+def _has_restarted(row: Row, host: Host) -> bool:
+  """Whether the endpoint in `row` has restarted according to `host`.
 
-  It has nothing in its caches and at work then, and answers as quickly as
-  any: all that was learnt is of the start before.
+  Its caches and queue are empty then, and what was measured before the restart
+  no longer applies.
   """
   started_ms = host.get("started_ms")
   known = row.started_ms is not None and started_ms is not None
   return known and row.started_ms != started_ms
 
 
-def _take(row: Row, host: Host) -> bool:
-  """Takes a host's entry into its row; returns whether that changed it."""
+def _apply_host(row: Row, host: Host) -> bool:
+  """Updates a row from its entry; returns whether state or address changed."""
   state = host.get("state", "live")
   if state == "unusable":
     changed = row.state != state
