--- a/mustardfall/routing/endpoints.py
+++ b/mustardfall/routing/endpoints.py
@@ -76,7 +76,7 @@
   """Seconds of prefill pending there for this router's requests."""
   others_in_flight: int = 0
   """Requests that other routers report to have in flight there."""
-  others_reading_s: float = 0.0
+  others_prefill_s: float = 0.0
   """Seconds of prefill that other routers report as pending there."""
   prefixes: dict[str, float] = dataclasses.field(default_factory=dict)
   """Prompt prefixes recently sent to it, and when, monotonic seconds."""
--- a/mustardfall/routing/loads.py
+++ b/mustardfall/routing/loads.py
@@ -1,8 +1,8 @@
-"""What each router has at the endpoints, known to all routers.
+"""The load that each router has on the endpoints, shared among all routers.
 
-An endpoint's queue is the work of many routers. One that knows only its own
-sends long prompts where others have just sent theirs. So each tells the
-others what it has in flight, and adds up what they tell.
+An endpoint's queue holds the requests of many routers. A router that knew only its
+own would send long prompts where others have just sent theirs. So each router
+reports what it has in flight to the others and adds up what they report.
 """
 
 import collections
@@ -11,76 +11,77 @@
 
 from mustardfall.routing import endpoints
 
-_REPEATS = 2
-"""Reports that tell of a prefix: one datagram in some hundreds is lost."""
-_FRESH_S = 1.5
-"""What was heard longer ago counts no more: its router may be dead, and what
-it had in flight has ended."""
+_PREFIX_REPORTS = 2
+"""Reports that repeat a sent prefix: one datagram in some hundreds is lost."""
+_REPORT_LIFETIME_S = 1.5
+"""Older reports are ignored: their router may be dead, and the requests that it
+had in flight have ended."""
 
 
 class Load(NamedTuple):
-  """What one router has at one endpoint."""
+  """The load of one router on one endpoint."""
 
   in_flight: int
   prefill_s: float
-  """Seconds of prompts that the endpoint has still to read for it."""
+  """Seconds of prefill pending there for the router's requests."""
 
 
 class Report(NamedTuple):
-  """What one router has at all endpoints."""
+  """The load of one router on all endpoints."""
 
   sender: str
-  """The router's life."""
+  """The router's life, see `members.Member`."""
   number: int
-  """Counts up; an earlier report that arrives late is passed over."""
+  """Increases with each report; a report that arrives late is ignored."""
   loads: dict[str, Load]
-  """By the endpoint's life; those without any are left out."""
+  """By the endpoint's life; endpoints without load are left out."""
   prefixes: dict[str, list[str]]
-  """Prompt prefixes lately sent to endpoints, by the endpoint's life."""
+  """Prompt prefixes recently sent to endpoints, by the endpoint's life."""
 
 
 def encode(report: Report) -> bytes:
-  """Returns a report as it is sent."""
+  """Encodes a report for a datagram."""
   rows = {
-      name: [load.in_flight, round(load.prefill_s, 4)]
-      for name, load in report.loads.items()
+      life: [load.in_flight, round(load.prefill_s, 4)]
+      for life, load in report.loads.items()
   }
-  whole = [report.sender, report.number, rows, report.prefixes]
-  return json.dumps(whole, separators=(",", ":")).encode()
+  content = [report.sender, report.number, rows, report.prefixes]
+  return json.dumps(content, separators=(",", ":")).encode()
 
 
 def decode(raw: bytes) -> Report:
-  """Returns a report as it was sent.
+  """Decodes a report.
 
   Raises:
-    ValueError, TypeError: it is none.
+    ValueError, TypeError: `raw` is not a report.
   """
   sender, number, rows, prefixes = json.loads(raw)
   loads = {
-      name: Load(int(in_flight), float(prefill_s))
-      for name, (in_flight, prefill_s) in rows.items()
+      life: Load(int(in_flight), float(prefill_s))
+      for life, (in_flight, prefill_s) in rows.items()
   }
-  sent = {name: list(ids) for name, ids in prefixes.items()}
-  return Report(str(sender), int(number), loads, sent)
+  prefixes_ = {life: list(ids) for life, ids in prefixes.items()}
+  return Report(str(sender), int(number), loads, prefixes_)
 
 
-class Heard(NamedTuple):
-  """A report, and when it came, monotonic seconds."""
+class _Received(NamedTuple):
+  """A report and when it was received, monotonic seconds."""
 
   report: Report
   at: float
 
 
-class _Sent(NamedTuple):
-  """A prefix sent to an endpoint, told in reports up to number `until`."""
+class _SentPrefix(NamedTuple):
+  """A prefix that was sent to an endpoint."""
 
   endpoint: str
   prefix: str
-  until: int
+  last_report: int
+  """Number of the last report that contains it."""
 
 
 class Loads:
-  """Adds up the routers' loads in the table of endpoints.
+  """Adds up the other routers' loads in the table of endpoints.
 
   Args:
     table: the endpoints; their `others_*` fields are set here.
@@ -91,17 +92,19 @@
     self._table = table
     self._life = life
     self._number = 0
-    self._heard: dict[str, Heard] = {}
-    self._sent: collections.deque[_Sent] = collections.deque()
+    self._received: dict[str, _Received] = {}
+    self._sent: collections.deque[_SentPrefix] = collections.deque()
 
   def note_sent(self, endpoint: str, prefix: str, now: float) -> None:
-    """Notes that a prompt with `prefix` is being sent to an endpoint."""
+    """Records that a prompt with `prefix` is being sent to an endpoint."""
     if prefix:
       self._table.note_prefix(endpoint, prefix, now)
-      self._sent.append(_Sent(endpoint, prefix, self._number + _REPEATS))
+      self._sent.append(
+          _SentPrefix(endpoint, prefix, self._number + _PREFIX_REPORTS)
+      )
 
   def report(self) -> Report:
-    """Returns what this router has at the endpoints now."""
+    """Returns a new report of this router's load."""
     self._number += 1
     loads = {
         row.life: Load(row.in_flight, max(0.0, row.prefill_s))
@@ -111,42 +114,42 @@
     prefixes: dict[str, list[str]] = {}
     for sent in self._sent:
       prefixes.setdefault(sent.endpoint, []).append(sent.prefix)
-    while self._sent and self._sent[0].until <= self._number:
+    while self._sent and self._sent[0].last_report <= self._number:
       self._sent.popleft()
     return Report(self._life, self._number, loads, prefixes)
 
   def take(self, report: Report, now: float) -> None:
-    """Takes in what another router has."""
-    last = self._heard.get(report.sender)
+    """Applies another router's report, in place of its previous one."""
+    last = self._received.get(report.sender)
     if last is not None and last.report.number >= report.number:
       return
     if last is not None:
       self._add(last.report, -1)
     self._add(report, 1)
-    self._heard[report.sender] = Heard(report, now)
+    self._received[report.sender] = _Received(report, now)
     for life, prefixes in report.prefixes.items():
       for prefix in prefixes:
         self._table.note_prefix(life, prefix, now)
 
   def _add(self, report: Report, sign: int) -> None:
-    """Adds a report to the table's sums, or takes it off."""
+    """Adds a report to the table's sums, or subtracts it (`sign` -1)."""
     for life, load in report.loads.items():
       row = self._table.find_life(life)
       if row is not None:
         row.others_in_flight += sign * load.in_flight
-        row.others_reading_s += sign * load.prefill_s
+        row.others_prefill_s += sign * load.prefill_s
 
   def recompute_totals(self, now: float) -> None:
-    """Adds up what is fresh; called each tick.
+    """Computes the table's sums anew from recent reports; call once per tick.
 
-    Routers that have gone silent count no more, and endpoints that were
-    listed after they were reported do.
+    This leaves out routers that are no longer heard from, and includes the
+    load of endpoints that were listed only after they were reported on.
     """
-    for sender, heard in list(self._heard.items()):
-      if now - heard.at > _FRESH_S:
-        del self._heard[sender]
+    for sender, received in list(self._received.items()):
+      if now - received.at > _REPORT_LIFETIME_S:
+        del self._received[sender]
     for row in self._table.rows.values():
       row.others_in_flight = 0
-      row.others_reading_s = 0.0
-    for heard in self._heard.values():
-      self._add(heard.report, 1)
+      row.others_prefill_s = 0.0
+    for received in self._received.values():
+      self._add(received.report, 1)
--- a/mustardfall/routing/placement.py
+++ b/mustardfall/routing/placement.py
@@ -1,12 +1,12 @@
-"""Which endpoint a request goes to: the one that should answer soonest.
-
-The expected time is added up from what the routers know: requests at the
-endpoint, the prompt tokens it would have to read (those of shared parts are
-in its cache if it was sent them lately), recent failures and the way there.
-Requests that share a prompt prefix agree on an endpoint by rendezvous
-hashing, so that a part is read by one engine and not by all; once that one
-is busy enough that reading the part again elsewhere is quicker, the next in
-order takes over.
+"""Chooses the endpoint of a request: the one expected to answer soonest.
+
+The expected time is estimated from what the routers know: the requests at the
+endpoint, the prompt tokens that it would have to prefill (those of a shared
+prefix are in its cache if it was sent them recently), recent failures and the
+network distance. Requests that share a prompt prefix choose the same endpoint by
+rendezvous hashing, so that the prefix is prefilled by one engine and not by all.
+Once that engine is so busy that another can prefill the prefix sooner, the next
+one in rendezvous order is chosen.
 """
 
 from collections.abc import Mapping
@@ -18,48 +18,49 @@
 from mustardfall.routing import tracking
 
 _RUNNING_S = 0.01
-"""What a running request of a plain service is held to add to the next one's
-time: half of its slots taken, a server of 60 ms a request is some 30 ms
-slower to answer."""
+"""Time that each running request of a plain service is assumed to add to the next
+one: with half of its slots taken, a server that needs 60 ms per request answers
+about 30 ms later."""
 _DECODING_S = 0.002
-"""What a running generation adds to the time to another's first token. A
-step of a batch hardly grows with its size; the rest is for balance."""
+"""Time that each running generation adds to another's first token. The duration
+of a batch step hardly depends on the batch's size; the rest balances load."""
 _WAITING_S = 0.12
-"""What a request waiting there adds: its prompt is read first. The mean of
-the uncached prompts, some 8,000 tokens at 64 a ms."""
-_READ_S_PER_TOKEN = 1 / 55_000
-"""Prompt reading of the engines: 51 to 64 tokens a ms."""
-_ATTEND_S_PER_PAIR = 0.5e-9
-"""Attention, 0.32 to 0.65 ns: each token read is set against each before it;
-a prompt of 17,000 tokens takes up to a third longer by it."""
-_READ_AGAIN = 1.5
-"""Weight of reading a shared part where it is not cached: it also holds up
-the requests behind it, and pushes other parts out of that cache."""
+"""Time that each queued request adds, since its prompt is prefilled first: the mean
+of the uncached prompts, about 8,000 tokens at 64 tokens per ms."""
+_PREFILL_S_PER_TOKEN = 1 / 55_000
+"""Prefill time per token: the engines prefill 51 to 64 tokens per ms."""
+_ATTENTION_S_PER_PAIR = 0.5e-9
+"""Attention time per pair of a token and an earlier one, 0.32 to 0.65 ns; it makes
+the prefill of a prompt of 17,000 tokens up to a third longer."""
+_CACHE_MISS_WEIGHT = 1.5
+"""Weight of prefilling a prefix where it is not cached: this also delays the
+requests queued behind it and evicts other prefixes from that cache."""
 _RANK_S = 0.02
-"""What each place further down a prefix's order counts while no engine is
-known to hold it: routers that do not know yet of each other's choice make
-the same one, unless another engine is free some tens of ms sooner."""
-_MOST_RANKS = 3
-"""Places that count so; further down they are alike."""
-_FAILURE_S = 0.25
-"""What each recent failure is held to cost: as much as a try that fails."""
-_FAR_S = 0.004
-"""Another data centre: some 1 ms more each way, and its bytes cost money.
+"""Cost per rank in a prefix's rendezvous order while no engine is known to have the
+prefix cached. Routers that don't yet know each other's choice then choose the same
+engine, unless another one is free some tens of ms sooner."""
+_MAX_RANK = 3
+"""Ranks beyond this one cost no more than it."""
+_FAILURE_COST_S = 0.25
+"""Cost per recent failure: about the time lost by a failed attempt."""
+_REMOTE_S = 0.004
+"""Cost of another data centre: about 1 ms more each way, and the traffic is charged.
 Small, so that it decides only between endpoints that are equally busy."""
 
-_WEIGHED = 3
-"""Candidates that are weighed against each other at once."""
-_BUSY_S = 0.1
-"""A wait that is worth weighing more candidates."""
-_KEPT_TOGETHER_TOKENS = 1_000
-"""Shared tokens that are worth keeping at one endpoint: 16 ms of reading. A
-shorter part is read anywhere in less time than what it would wait for."""
+_CANDIDATES_PER_ROUND = 3
+"""Candidates that are compared in each round."""
+_BUSY_WAIT_S = 0.1
+"""Expected wait above which another round of candidates is compared."""
+_AFFINITY_TOKENS = 1_000
+"""Shortest prefix for which requests are kept at the same endpoint, 16 ms of
+prefill. Prefilling a shorter one anywhere is quicker than waiting there."""
 
 
 class Prompt(NamedTuple):
-  """What places a generation: the prefix that it shares with others."""
+  """What the choice for a generation depends on; tokens are prompt tokens."""
 
   prefix: str
+  """Identifies the prefix shared with other prompts; empty: there is none."""
   shared_tokens: int
   own_tokens: int
 
@@ -68,63 +69,72 @@
 
 
 class Placement(NamedTuple):
-  """The endpoint chosen, and the times that are expected there."""
+  """The chosen endpoint, and the times expected there."""
 
   row: endpoints.Row
   prefill_s: float
-  """How long it reads this prompt."""
+  """Time to prefill this prompt."""
   answer_s: float
-  """When it should begin to answer, were it as quick as most."""
+  """Time until the answer begins, at an endpoint of average speed."""
 
 
 def wait_s(row: endpoints.Row, prompt: Prompt) -> float:
-  """Returns the seconds that what is at `row` takes before a next request."""
-  # A row that was listed anew since a report was added up has less than the
-  # report takes off again, until the next tick.
+  """Returns the seconds that a new request would wait at `row`."""
+  # The sums of others' loads are negative, until the next tick, where a row was
+  # replaced after a report was added and the report is then subtracted.
   in_flight = row.in_flight + max(0, row.others_in_flight)
-  each_s = _DECODING_S if prompt.prefix else _RUNNING_S
-  reading = row.prefill_s + max(0.0, row.others_reading_s)
-  queue = max(reading, row.waiting * _WAITING_S)
-  return max(in_flight, row.running) * each_s + queue
+  per_request_s = _DECODING_S if prompt.prefix else _RUNNING_S
+  pending_prefill_s = row.prefill_s + max(0.0, row.others_prefill_s)
+  queue = max(pending_prefill_s, row.waiting * _WAITING_S)
+  return max(in_flight, row.running) * per_request_s + queue
 
 
-def holds(row: endpoints.Row, rank: int, prompt: Prompt) -> bool:
-  """Whether `row` is taken to have the prompt's prefix in its cache.
+def likely_cached(row: endpoints.Row, rank: int, prompt: Prompt) -> bool:
+  """Whether `row` is assumed to have the prompt's prefix in its cache.
 
-  The first in the prefix's order is, unless it came only lately: it was
-  sent the prefix before this router started.
+  The first in the prefix's order is assumed to, since it was probably sent the
+  prefix before this router started, unless it was listed later.
   """
   return prompt.prefix in row.prefixes or (rank == 0 and not row.cold_cache)
 
 
 def cost_s(
-    row: endpoints.Row, rank: int, held: bool, prompt: Prompt, datacentre: str
+    row: endpoints.Row,
+    rank: int,
+    cached_anywhere: bool,
+    prompt: Prompt,
+    datacentre: str,
 ) -> float:
-  """Returns what choosing `row` is held to cost, seconds.
+  """Returns the estimated cost of choosing `row`, seconds.
 
   Args:
     row: the endpoint.
-    rank: its place in the prefix's order.
-    held: whether any endpoint holds the prefix.
-    prompt: what the request shares.
+    rank: its rank in the prefix's order.
+    cached_anywhere: whether any endpoint has the prefix cached.
+    prompt: the request's prompt.
     datacentre: the router's own.
   """
-  far = 0.0 if row.datacentre == datacentre else _FAR_S
-  failed = row.failures * _FAILURE_S
-  read_s = prefill_s(holds(row, rank, prompt), prompt)
-  if not held:
-    far += min(rank, _MOST_RANKS) * _RANK_S
-  elif not holds(row, rank, prompt):
-    read_s *= _READ_AGAIN
-  return row.slowness * (wait_s(row, prompt) + read_s) + far + failed
+  cost = 0.0 if row.datacentre == datacentre else _REMOTE_S
+  failure_s = row.failures * _FAILURE_COST_S
+  own_prefill_s = prefill_s(likely_cached(row, rank, prompt), prompt)
+  if not cached_anywhere:
+    cost += min(rank, _MAX_RANK) * _RANK_S
+  elif not likely_cached(row, rank, prompt):
+    own_prefill_s *= _CACHE_MISS_WEIGHT
+  return row.slowness * (wait_s(row, prompt) + own_prefill_s) + cost + failure_s
 
 
-def prefill_s(held: bool, prompt: Prompt) -> float:
-  """Returns the seconds that reading a prompt takes an endpoint."""
-  cached = prompt.shared_tokens if held else 0
-  tokens = prompt.own_tokens + prompt.shared_tokens - cached
-  pairs = tokens * (cached + tokens / 2)
-  return tokens * _READ_S_PER_TOKEN + pairs * _ATTEND_S_PER_PAIR
+def prefill_s(cached: bool, prompt: Prompt) -> float:
+  """Returns the seconds that prefilling a prompt takes.
+
+  Args:
+    cached: whether the shared prefix is in the cache.
+    prompt: the prompt.
+  """
+  cached_tokens = prompt.shared_tokens if cached else 0
+  tokens = prompt.own_tokens + prompt.shared_tokens - cached_tokens
+  pairs = tokens * (cached_tokens + tokens / 2)
+  return tokens * _PREFILL_S_PER_TOKEN + pairs * _ATTENTION_S_PER_PAIR
 
 
 class Candidate(NamedTuple):
@@ -132,7 +142,7 @@
 
   row: endpoints.Row
   rank: int
-  """Its place in the order of the prompt's prefix."""
+  """Its rank in the order of the prompt's prefix."""
 
 
 def candidates(
@@ -141,124 +151,143 @@
     datacentre: str,
     rng: random.Random,
 ) -> list[list[Candidate]]:
-  """Returns the endpoints to weigh against each other, in rounds.
+  """Returns the endpoints to compare, in two rounds.
 
-  Those first in the order of a prefix that is worth keeping together, then
-  the next ones, should all of these be busy. Where nothing is gained by that,
-  a few at random, of the own data centre first.
+  For a long enough prefix, the first round has the first endpoints in the
+  prefix's order and the second one has the next, for when all of the first are
+  busy. Otherwise endpoints are drawn at random, in the first round those of the
+  router's own data centre before others.
   """
-  if prompt.shared_tokens >= _KEPT_TOGETHER_TOKENS:
-    ordered = sorted(rows, key=lambda row: _weight(prompt.prefix, row.name))
+  if prompt.shared_tokens >= _AFFINITY_TOKENS:
+    ordered = sorted(rows, key=lambda row: _rank_key(prompt.prefix, row.name))
   else:
     ordered = rng.sample(rows, len(rows))
     ordered.sort(key=lambda row: row.datacentre != datacentre)
   ranked = [Candidate(row, rank) for rank, row in enumerate(ordered)]
-  first, second = ranked[:_WEIGHED], ranked[_WEIGHED:]
-  if prompt.shared_tokens < _KEPT_TOGETHER_TOKENS:
+  first, second = ranked[:_CANDIDATES_PER_ROUND], ranked[_CANDIDATES_PER_ROUND:]
+  if prompt.shared_tokens < _AFFINITY_TOKENS:
     rng.shuffle(second)
-  return [first, second[:_WEIGHED]]
+  return [first, second[:_CANDIDATES_PER_ROUND]]
 
 
 def choose_tracked(
-    found: list[Candidate],
+    candidates_: list[Candidate],
     statuses: Mapping[str, tracking.EndpointStatus],
     prompt: Prompt,
     datacentre: str,
 ) -> Placement | None:
-  """Returns the candidate that should answer soonest; None without any.
+  """Returns the candidate that should answer soonest, or None if there is none.
 
   Args:
-    found: the candidates.
-    standings: how they stand, by their lives; where one is missing, what this
-      router knows itself counts.
-    prompt: what the request shares.
+    candidates_: the candidates.
+    statuses: status by the endpoint's `life`; for a candidate without one, this
+      router's own knowledge is used.
+    prompt: the request's prompt.
     datacentre: the router's own.
   """
-  held = any(_is_held(one, statuses, prompt) for one in found)
+  cached_anywhere = any(
+      _is_cached(candidate, statuses, prompt) for candidate in candidates_
+  )
   costs = [
-      (_tracked_cost_s(one, statuses, held, prompt, datacentre), number)
-      for number, one in enumerate(found)
+      (
+          _tracked_cost_s(
+              candidate, statuses, cached_anywhere, prompt, datacentre
+          ),
+          number,
+      )
+      for number, candidate in enumerate(candidates_)
   ]
   if not costs:
     return None
-  best = found[min(costs)[1]]
-  own_s = prefill_s(_is_held(best, statuses, prompt), prompt)
+  best = candidates_[min(costs)[1]]
+  own_prefill_s = prefill_s(_is_cached(best, statuses, prompt), prompt)
   return Placement(
-      best.row, own_s, tracked_wait_s(best, statuses, prompt) + own_s
+      best.row,
+      own_prefill_s,
+      tracked_wait_s(best, statuses, prompt) + own_prefill_s,
   )
 
 
-def _is_held(
-    one: Candidate,
+def _is_cached(
+    candidate: Candidate,
     statuses: Mapping[str, tracking.EndpointStatus],
     prompt: Prompt,
 ) -> bool:
-  standing = statuses.get(one.row.life)
-  if standing is not None and standing.held:
+  status = statuses.get(candidate.row.life)
+  if status is not None and status.prefix_cached:
     return True
-  return holds(one.row, one.rank, prompt)
+  return likely_cached(candidate.row, candidate.rank, prompt)
 
 
 def tracked_wait_s(
-    one: Candidate,
+    candidate: Candidate,
     statuses: Mapping[str, tracking.EndpointStatus],
     prompt: Prompt,
 ) -> float:
-  """Returns the seconds that what is at a candidate takes before a request."""
-  standing = statuses.get(one.row.life)
-  if standing is None:
-    return wait_s(one.row, prompt)
-  each_s = _DECODING_S if prompt.prefix else _RUNNING_S
-  return standing.in_flight * each_s + standing.prefill_s
+  """Returns the seconds that a new request would wait at a candidate."""
+  status = statuses.get(candidate.row.life)
+  if status is None:
+    return wait_s(candidate.row, prompt)
+  per_request_s = _DECODING_S if prompt.prefix else _RUNNING_S
+  return status.in_flight * per_request_s + status.prefill_s
 
 
 def _tracked_cost_s(
-    one: Candidate,
+    candidate: Candidate,
     statuses: Mapping[str, tracking.EndpointStatus],
-    held: bool,
+    cached_anywhere: bool,
     prompt: Prompt,
     datacentre: str,
 ) -> float:
-  """Returns what choosing a candidate is held to cost, see `cost_s`."""
-  standing = statuses.get(one.row.life)
-  if standing is None:
-    return cost_s(one.row, one.rank, held, prompt, datacentre)
-  is_held = _is_held(one, statuses, prompt)
-  read_s = prefill_s(is_held, prompt)
-  cost = 0.0 if one.row.datacentre == datacentre else _FAR_S
-  if not held:
-    cost += min(one.rank, _MOST_RANKS) * _RANK_S
-  elif not is_held:
-    read_s *= _READ_AGAIN
-  wait = tracked_wait_s(one, statuses, prompt)
+  """Returns the estimated cost of choosing a candidate, see `cost_s`."""
+  status = statuses.get(candidate.row.life)
+  if status is None:
+    return cost_s(
+        candidate.row, candidate.rank, cached_anywhere, prompt, datacentre
+    )
+  cached_here = _is_cached(candidate, statuses, prompt)
+  own_prefill_s = prefill_s(cached_here, prompt)
+  cost = 0.0 if candidate.row.datacentre == datacentre else _REMOTE_S
+  if not cached_anywhere:
+    cost += min(candidate.rank, _MAX_RANK) * _RANK_S
+  elif not cached_here:
+    own_prefill_s *= _CACHE_MISS_WEIGHT
+  wait = tracked_wait_s(candidate, statuses, prompt)
   return (
-      cost + wait + standing.slowness * read_s + standing.failures * _FAILURE_S
+      cost
+      + wait
+      + status.slowness * own_prefill_s
+      + status.failures * _FAILURE_COST_S
   )
 
 
 def is_busy(place: Placement, prompt: Prompt) -> bool:
-  """Whether more candidates should be weighed before a request waits there."""
-  return place.answer_s - place.prefill_s > _BUSY_S and bool(prompt.prefix)
+  """Whether the wait there makes comparing more candidates worthwhile."""
+  return place.answer_s - place.prefill_s > _BUSY_WAIT_S and bool(prompt.prefix)
 
 
 def choose(
     rows: list[endpoints.Row], prompt: Prompt, datacentre: str
 ) -> Placement | None:
-  """Returns the endpoint that should answer soonest; None without any."""
-  ordered = sorted(rows, key=lambda row: _weight(prompt.prefix, row.name))
-  held = any(holds(row, rank, prompt) for rank, row in enumerate(ordered))
+  """Returns the endpoint that should answer soonest, or None if there is none."""
+  ordered = sorted(rows, key=lambda row: _rank_key(prompt.prefix, row.name))
+  cached_anywhere = any(
+      likely_cached(row, rank, prompt) for rank, row in enumerate(ordered)
+  )
   best = min(
       enumerate(ordered),
-      key=lambda ranked: cost_s(ranked[1], ranked[0], held, prompt, datacentre),
+      key=lambda ranked: cost_s(
+          ranked[1], ranked[0], cached_anywhere, prompt, datacentre
+      ),
       default=None,
   )
   if best is None:
     return None
   rank, row = best
-  own_s = prefill_s(holds(row, rank, prompt), prompt)
-  return Placement(row, own_s, wait_s(row, prompt) + own_s)
+  own_prefill_s = prefill_s(likely_cached(row, rank, prompt), prompt)
+  return Placement(row, own_prefill_s, wait_s(row, prompt) + own_prefill_s)
 
 
-def _weight(prefix: str, name: str) -> bytes:
-  """Returns an endpoint's place in a prefix's order, alike on all routers."""
+def _rank_key(prefix: str, name: str) -> bytes:
+  """Returns the key that orders endpoints for a prefix, equal on all routers."""
   return hashlib.blake2b(f"{prefix} {name}".encode(), digest_size=8).digest()
--- a/mustardfall/routing/tracking.py
+++ b/mustardfall/routing/tracking.py
@@ -1,93 +1,97 @@
-"""What all routers have at an endpoint, as the router that tracks it knows.
+"""The status of an endpoint, kept by the router that tracks it.
 
-In a large fleet a router sends an endpoint one request in half a minute, so it
-can neither see its queue nor measure its speed. Each endpoint is tracked by one
-router, which is told of every request that is sent there, of first tokens and
-of ends, and which answers those who are about to choose.
+In a large fleet, a router sends an endpoint one request per half minute, which is
+too few to know its queue or measure its speed. Each endpoint is therefore tracked
+by one router. The others report to it every request that they send there, its
+first token and its end, and query it before they choose an endpoint.
 """
 
 import dataclasses
 from typing import NamedTuple
 
-_CACHED_S = 15.0
-"""How long an unused prefix is taken to stay in an endpoint's cache."""
-_MOST_READING_S = 10.0
-"""Longer than an engine reads the longest prompt that fits into its memory; a
-router that tells more would have the endpoint passed over for good."""
-_STAY_S = 8.0
-"""A request whose end was not heard of is taken to have ended after this."""
-_QUIET_S = 60.0
-"""An endpoint that nobody was sent to for so long is forgotten."""
+_CACHE_LIFETIME_S = 15.0
+"""How long an unused prefix is assumed to stay in an endpoint's cache."""
+_MAX_PREFILL_S = 10.0
+"""Bound on the prefill reported for one request, longer than that of the longest
+prompt that fits into an engine's memory. Without it, one wrong report could keep
+the endpoint from being chosen ever again."""
+_REQUEST_LIFETIME_S = 8.0
+"""A request whose end was not reported is assumed to have ended after this."""
+_ENDPOINT_LIFETIME_S = 60.0
+"""An endpoint that was not reported on for this long is removed."""
 _SLOWNESS_WEIGHT = 0.25
-"""Weight of the newest first token. An engine gives some five a second to all
-routers, so that one that turns slow is known for it within a second."""
-_FORGET_S = 4.0
-"""Within which most of a slowness is forgotten when no first token comes: an
-endpoint that is passed over must be tried again."""
-_FAILURE_S = 1.5
-"""The same for failures."""
-_LEAST_EXPECTED_S = 0.05
-"""Shorter expectations are all noise: a step of a batch, the way there."""
-_MOST_SLOWNESS = 6.0
-"""Most that one first token counts as slower or faster than expected."""
+"""Weight of the newest first token in the moving average. An engine sends about five
+a second to all routers, so that a slow one is noticed within a second."""
+_SLOWNESS_DECAY_S = 4.0
+"""Time in which a slowness's deviation from 1 decays to a quarter if no first token
+comes: a slow endpoint that is no longer chosen must be tried again."""
+_FAILURE_DECAY_S = 1.5
+"""Time in which the number of failures decays to a quarter."""
+_MIN_EXPECTED_S = 0.05
+"""Expected times are raised to this; in shorter ones, batch steps and network
+latency outweigh the endpoint's speed."""
+_MAX_RATIO = 6.0
+"""Limits how much slower or faster than expected one first token counts."""
 
 
 class EndpointStatus(NamedTuple):
-  """How an endpoint stands, as told to a router that may choose it."""
+  """An endpoint's status, as sent to a router that may choose it."""
 
   in_flight: int
-  """Requests there, of all routers."""
+  """Requests in flight there, of all routers."""
   prefill_s: float
-  """Seconds until it has read all prompts that it was sent."""
-  held: bool
-  """Whether it was lately sent the prefix that was asked for."""
+  """Seconds until it has prefilled all prompts that it was sent."""
+  prefix_cached: bool
+  """Whether it was recently sent the prefix in question."""
   slowness: float
-  """Time to first tokens against what was expected, lately."""
+  """Moving average of the time to first token, relative to the expected one."""
   failures: float
-  """Tries that failed there lately, decaying."""
+  """Recently failed attempts; decays."""
 
 
 UNKNOWN = EndpointStatus(0, 0.0, False, 1.0, 0.0)
-"""Of an endpoint that nothing was heard of."""
+"""The status of an endpoint without any report."""
 
 
 @dataclasses.dataclass
-class _Tracked:
-  """What is known of one endpoint."""
+class _State:
+  """What the tracker knows of one endpoint; times are monotonic seconds."""
 
-  seen_at: float
-  read_at: float = 0.0
-  """When it will have read what it was sent."""
+  last_used_at: float
+  """When it was last reported on."""
+  prefill_done_at: float = 0.0
+  """When it will have prefilled the prompts that it was sent."""
   requests: dict[str, float] = dataclasses.field(default_factory=dict)
-  """Requests there, and when each was sent."""
+  """Requests in flight there, and when each was sent."""
   prefixes: dict[str, float] = dataclasses.field(default_factory=dict)
-  """Prefixes that it was sent, and when last."""
+  """Prefixes that it was sent, and when each was last sent."""
   slowness: float = 1.0
   failures: float = 0.0
-  judged_at: float = 0.0
-  """When slowness and failures were last brought up to date."""
+  decayed_at: float = 0.0
+  """When the decay was last applied to slowness and failures."""
 
 
 class Tracker:
   """The endpoints that this router tracks; all times in monotonic seconds."""
 
   def __init__(self) -> None:
-    self._tracked: dict[str, _Tracked] = {}
-    self._cleared_at = 0.0
+    self._states: dict[str, _State] = {}
+    self._last_purge_at = 0.0
 
   def status_of(self, endpoint: str, prefix: str, now: float) -> EndpointStatus:
-    """Returns how an endpoint stands for a request with `prefix`."""
-    found = self._tracked.get(endpoint)
-    if found is None:
+    """Returns an endpoint's status for a request with `prefix`."""
+    state = self._states.get(endpoint)
+    if state is None:
       return UNKNOWN
-    self._age(found, now)
-    sent_at = found.prefixes.get(prefix)
+    self._decay(state, now)
+    sent_at = state.prefixes.get(prefix)
     return EndpointStatus(
-        in_flight=len(found.requests),
-        prefill_s=max(0.0, found.read_at - now),
-        held=sent_at is not None and now - sent_at <= _CACHED_S,
-        slowness=found.slowness,
-        failures=found.failures,
+        in_flight=len(state.requests),
+        prefill_s=max(0.0, state.prefill_done_at - now),
+        prefix_cached=sent_at is not None
+        and now - sent_at <= _CACHE_LIFETIME_S,
+        slowness=state.slowness,
+        failures=state.failures,
     )
 
   def note_sent(
@@ -98,74 +102,74 @@
       prefill_s: float,
       now: float,
   ) -> None:
-    """Notes a request that is on its way to an endpoint.
+    """Records that a request is being sent to an endpoint.
 
     Args:
       endpoint: the endpoint's life.
-      request: names the request among all routers.
+      request: identifies the request among those of all routers.
       prefix: the prompt's prefix; empty: none.
-      prefill_s: how long its prompt should take to read there.
-      now: the time.
+      prefill_s: expected time to prefill its prompt there.
+      now: the current time.
     """
-    found = self._find(endpoint, now)
-    found.requests[request] = now
-    begin = max(now, found.read_at)
-    most_s = min(max(0.0, prefill_s), _MOST_READING_S)
-    found.read_at = begin + most_s * found.slowness
+    state = self._state_of(endpoint, now)
+    state.requests[request] = now
+    begin = max(now, state.prefill_done_at)
+    bounded_s = min(max(0.0, prefill_s), _MAX_PREFILL_S)
+    state.prefill_done_at = begin + bounded_s * state.slowness
     if prefix:
-      found.prefixes.pop(prefix, None)
-      found.prefixes[prefix] = now
+      state.prefixes.pop(prefix, None)
+      state.prefixes[prefix] = now
 
   def note_first_token(
       self, endpoint: str, expected_s: float, took_s: float, now: float
   ) -> None:
-    """Notes how long a first token took, or has taken so far."""
-    found = self._find(endpoint, now)
-    self._age(found, now)
-    ratio = took_s / max(expected_s, _LEAST_EXPECTED_S)
-    ratio = min(max(ratio, 1 / _MOST_SLOWNESS), _MOST_SLOWNESS)
-    found.slowness += _SLOWNESS_WEIGHT * (ratio - found.slowness)
+    """Records how long a first token took, or has taken so far."""
+    state = self._state_of(endpoint, now)
+    self._decay(state, now)
+    ratio = took_s / max(expected_s, _MIN_EXPECTED_S)
+    ratio = min(max(ratio, 1 / _MAX_RATIO), _MAX_RATIO)
+    state.slowness += _SLOWNESS_WEIGHT * (ratio - state.slowness)
 
   def note_end(
       self, endpoint: str, request: str, failed: bool, now: float
   ) -> None:
-    """Notes that a request has left an endpoint."""
-    found = self._find(endpoint, now)
-    self._age(found, now)
-    found.requests.pop(request, None)
-    found.failures += failed
-
-  def _find(self, endpoint: str, now: float) -> _Tracked:
-    if now - self._cleared_at >= _QUIET_S:
-      self._clear(now)
-    found = self._tracked.get(endpoint)
-    if found is None:
-      found = self._tracked[endpoint] = _Tracked(now, judged_at=now)
-    found.seen_at = now
-    return found
-
-  def _clear(self, now: float) -> None:
-    """Forgets endpoints that nobody was sent to for long."""
-    self._cleared_at = now
-    for endpoint, found in list(self._tracked.items()):
-      if now - found.seen_at >= _QUIET_S:
-        del self._tracked[endpoint]
-
-  def _age(self, found: _Tracked, now: float) -> None:
-    """Brings what fades with time up to date."""
-    passed_s = max(0.0, now - found.judged_at)
-    found.judged_at = now
-    kept = 0.5 ** (2 * passed_s / _FORGET_S)
-    found.slowness = 1.0 + (found.slowness - 1.0) * kept
-    found.failures *= 0.5 ** (2 * passed_s / _FAILURE_S)
-    _drop_before(found.requests, now - _STAY_S)
-    _drop_before(found.prefixes, now - _CACHED_S)
-
-
-def _drop_before(noted: dict[str, float], before: float) -> None:
-  """Drops what was noted before then; the oldest come first."""
-  while noted:
-    oldest = next(iter(noted))
-    if noted[oldest] >= before:
+    """Records that a request has ended or was aborted."""
+    state = self._state_of(endpoint, now)
+    self._decay(state, now)
+    state.requests.pop(request, None)
+    state.failures += failed
+
+  def _state_of(self, endpoint: str, now: float) -> _State:
+    if now - self._last_purge_at >= _ENDPOINT_LIFETIME_S:
+      self._purge(now)
+    state = self._states.get(endpoint)
+    if state is None:
+      state = self._states[endpoint] = _State(now, decayed_at=now)
+    state.last_used_at = now
+    return state
+
+  def _purge(self, now: float) -> None:
+    """Removes endpoints that were not reported on for long."""
+    self._last_purge_at = now
+    for endpoint, state in list(self._states.items()):
+      if now - state.last_used_at >= _ENDPOINT_LIFETIME_S:
+        del self._states[endpoint]
+
+  def _decay(self, state: _State, now: float) -> None:
+    """Applies the decay for the time since it was last applied."""
+    elapsed_s = max(0.0, now - state.decayed_at)
+    state.decayed_at = now
+    kept = 0.5 ** (2 * elapsed_s / _SLOWNESS_DECAY_S)
+    state.slowness = 1.0 + (state.slowness - 1.0) * kept
+    state.failures *= 0.5 ** (2 * elapsed_s / _FAILURE_DECAY_S)
+    _remove_older(state.requests, now - _REQUEST_LIFETIME_S)
+    _remove_older(state.prefixes, now - _CACHE_LIFETIME_S)
+
+
+def _remove_older(times: dict[str, float], before: float) -> None:
+  """Removes entries older than `before`, given that the oldest come first."""
+  while times:
+    oldest = next(iter(times))
+    if times[oldest] >= before:
       return
-    del noted[oldest]
+    del times[oldest]
--- a/tests/test_loads.py
+++ b/tests/test_loads.py
@@ -143,7 +143,7 @@
     self._take("r1:e", 1, 0.0)
     self._take("r2:e", 1, 0.1, in_flight=3)
     self.assertEqual(
-        (5, 1.0), (self.row.others_in_flight, self.row.others_reading_s)
+        (5, 1.0), (self.row.others_in_flight, self.row.others_prefill_s)
     )
 
   def test_late_datagram_is_passed_over(self):
@@ -172,9 +172,9 @@
       found = {life: loads.Load(n, n / 8) for life, n in rows.items()}
       router.loads.take(loads.Report(f"r{sender}:e", number, found, {}), 0.0)
     rows = router.table.rows.values()
-    kept = [(row.others_in_flight, row.others_reading_s) for row in rows]
+    kept = [(row.others_in_flight, row.others_prefill_s) for row in rows]
     router.loads.recompute_totals(0.0)
-    anew = [(row.others_in_flight, row.others_reading_s) for row in rows]
+    anew = [(row.others_in_flight, row.others_prefill_s) for row in rows]
     self.assertEqual(anew, kept)
 
   def test_router_gone_silent_counts_no_more(self):
--- a/tests/test_tracking.py
+++ b/tests/test_tracking.py
@@ -124,9 +124,9 @@
     tracker.note_sent("i", "r1", "p", 0.5, 10.0)
     tracker.note_sent("i", "r2", "q", 0.2, 10.1)
     found = tracker.status_of("i", "p", 10.2)
-    self.assertEqual((2, True), (found.in_flight, found.held))
+    self.assertEqual((2, True), (found.in_flight, found.prefix_cached))
     self.assertAlmostEqual(0.5, found.prefill_s)
-    self.assertFalse(tracker.status_of("i", "z", 10.2).held)
+    self.assertFalse(tracker.status_of("i", "z", 10.2).prefix_cached)
 
   def test_what_nobody_ended_is_forgotten(self):
     """Guards against an endpoint that looks busy since a router died."""
@@ -226,7 +226,9 @@
       return await self.routers[7].survey(["i-1", "i-2"], "p")
 
     found = virtual.run(go)
-    self.assertEqual((1, True), (found["i-1"].in_flight, found["i-1"].held))
+    self.assertEqual(
+        (1, True), (found["i-1"].in_flight, found["i-1"].prefix_cached)
+    )
     self.assertAlmostEqual(0.4, found["i-1"].prefill_s, 2)
     self.assertEqual(tracking.UNKNOWN, found["i-2"])
 
