--- a/mustardfall/bench/virtual/engines.py
+++ b/mustardfall/bench/virtual/engines.py
@@ -356,7 +356,7 @@
     player.messages += 1
     other = player.routers[router.turn]
     if other is not router:
-      other.loads.take(report, now)
+      other.loads.apply_report(report, now)
       other.loads.recompute_totals(now)
 
 
--- a/mustardfall/routing/loads.py
+++ b/mustardfall/routing/loads.py
@@ -118,7 +118,7 @@
       self._sent.popleft()
     return Report(self._life, self._number, loads, prefixes)
 
-  def take(self, report: Report, now: float) -> None:
+  def apply_report(self, report: Report, now: float) -> None:
     """Applies another router's report, in place of its previous one."""
     last = self._received.get(report.sender)
     if last is not None and last.report.number >= report.number:
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -196,7 +196,7 @@
     ]
     began = time.process_time()
     for report in reports:
-      router.loads.take(report, 0.0)
+      router.loads.apply_report(report, 0.0)
     each = (time.process_time() - began) / len(reports)
     self.assertTrue(30 * each <= _CONTROL_SHARE / 4, each)
 
--- a/tests/test_loads.py
+++ b/tests/test_loads.py
@@ -76,7 +76,7 @@
       report = loads.decode(loads.encode(router.loads.report()))
       for other in self._routers:
         if other is not router:
-          other.loads.take(report, now)
+          other.loads.apply_report(report, now)
 
   def _arrive(self, now, kind):
     _, prefixes, shared, own, objective_s = kind
@@ -137,7 +137,7 @@
 
   def _take(self, sender, number, now, in_flight=2):
     load = {"i-0": loads.Load(in_flight, 0.5), "i-gone": loads.Load(1, 0.1)}
-    self.router.loads.take(loads.Report(sender, number, load, {}), now)
+    self.router.loads.apply_report(loads.Report(sender, number, load, {}), now)
 
   def test_adds_up_over_routers(self):
     self._take("r1:e", 1, 0.0)
@@ -170,7 +170,9 @@
     router = _Router(0)
     for sender, number, rows in reports:
       found = {life: loads.Load(n, n / 8) for life, n in rows.items()}
-      router.loads.take(loads.Report(f"r{sender}:e", number, found, {}), 0.0)
+      router.loads.apply_report(
+          loads.Report(f"r{sender}:e", number, found, {}), 0.0
+      )
     rows = router.table.rows.values()
     kept = [(row.others_in_flight, row.others_prefill_s) for row in rows]
     router.loads.recompute_totals(0.0)
