--- a/mustardfall/membership/verdicts.py
+++ b/mustardfall/membership/verdicts.py
@@ -132,7 +132,9 @@
   def _take_verdicts(self, raw: bytes) -> None:
     for fingerprint, team, left_s in deltas.unpack(raw, _MOST_CONTENT_BYTES):
       _check(fingerprint, team)
-      self._table.take(quarantine.Verdict(fingerprint, team, float(left_s)))
+      self._table.apply_verdict(
+          quarantine.Verdict(fingerprint, team, float(left_s))
+      )
 
   async def run(self) -> None:
     """Tells, writes and repeats verdicts until cancelled."""
@@ -208,7 +210,7 @@
         logger.error("verdict unreadable", extra=extra)
         continue
       verdict = quarantine.Verdict(written.fingerprint, written.team, left_s)
-      if left_s > 0 and self._table.take(verdict):
+      if left_s > 0 and self._table.apply_verdict(verdict):
         found.append(verdict)
     await self._tell(found, self._members.others)
     return True
--- a/mustardfall/routing/quarantine.py
+++ b/mustardfall/routing/quarantine.py
@@ -143,7 +143,7 @@
     ran_at = self._succeeded_at.get(fingerprint_, -float("inf"))
     return self._clock.monotonic() - ran_at < _RETENTION_S
 
-  def take(self, verdict: Verdict) -> bool:
+  def apply_verdict(self, verdict: Verdict) -> bool:
     """Applies another router's verdict on a request.
 
     Returns:
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -101,9 +101,9 @@
 
   def test_verdict_of_another_router_is_applied(self):
     verdict = quarantine.Verdict("x", "acme", 30.0)
-    self.assertTrue(self.table.take(verdict))
-    self.assertFalse(self.table.take(verdict._replace(left_s=90.0)))
+    self.assertTrue(self.table.apply_verdict(verdict))
+    self.assertFalse(self.table.apply_verdict(verdict._replace(left_s=90.0)))
     self.assertEqual(30.0, self.table.left_s("x"))
-    self.table.take(verdict._replace(left_s=0.0))
+    self.table.apply_verdict(verdict._replace(left_s=0.0))
     self.assertEqual(0, self.table.left_s("x"))
-    self.assertFalse(self.table.take(verdict))
+    self.assertFalse(self.table.apply_verdict(verdict))
