--- a/mustardfall/membership/verdicts.py
+++ b/mustardfall/membership/verdicts.py
@@ -92,7 +92,7 @@
 
   def note_success(self, fingerprint: str) -> None:
     """Notes that an endpoint ran a request to its end."""
-    was_quarantined = bool(self._table.left_s(fingerprint))
+    was_quarantined = bool(self._table.remaining_s(fingerprint))
     if not self._table.note_success(fingerprint):
       return
     sound = quarantine.Verdict(fingerprint, "", 0.0)
--- a/mustardfall/proxy/guard.py
+++ b/mustardfall/proxy/guard.py
@@ -43,7 +43,7 @@
     Raises:
       refusals.RefusalError: it must not be sent to any endpoint now.
     """
-    left_s = self._table.left_s(job.fingerprint)
+    left_s = self._table.remaining_s(job.fingerprint)
     if not left_s:
       return
     if job.may_have_run:
--- a/mustardfall/routing/quarantine.py
+++ b/mustardfall/routing/quarantine.py
@@ -93,7 +93,7 @@
     self._succeeded_at: collections.OrderedDict[str, float]
     self._succeeded_at = collections.OrderedDict()
 
-  def left_s(self, fingerprint_: str) -> float:
+  def remaining_s(self, fingerprint_: str) -> float:
     """Returns the seconds of quarantine left for a request, 0 if none."""
     row = self._rows.get(fingerprint_)
     if row is None:
@@ -152,7 +152,7 @@
     if verdict.left_s <= 0:
       self.note_success(verdict.fingerprint)
       return False
-    if self._succeeded_recently(verdict.fingerprint) or self.left_s(
+    if self._succeeded_recently(verdict.fingerprint) or self.remaining_s(
         verdict.fingerprint
     ):
       return False
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -34,15 +34,15 @@
 
   def test_request_that_crashes_three_endpoints_is_quarantined(self):
     self.assertEqual([False, False, True], self._crash_apart("x", 3))
-    self.assertEqual(quarantine.QUARANTINE_S, self.table.left_s("x"))
+    self.assertEqual(quarantine.QUARANTINE_S, self.table.remaining_s("x"))
     self._advance(quarantine.QUARANTINE_S + 1)
-    self.assertEqual(0, self.table.left_s("x"))
+    self.assertEqual(0, self.table.remaining_s("x"))
 
   def test_one_crash_after_the_quarantine_renews_it(self):
     self._crash_apart("x", 3)
     self._advance(quarantine.QUARANTINE_S + 1)
     self.assertTrue(self._crash("x", "again"))
-    self.assertTrue(self.table.left_s("x") > 0)
+    self.assertTrue(self.table.remaining_s("x") > 0)
 
   def test_crash_reported_by_many_routers_counts_once(self):
     for _ in range(9):
@@ -54,7 +54,7 @@
     for endpoint in range(20):
       self._advance(0.003)
       self.assertFalse(self._crash("popular", f"e{endpoint}"))
-    self.assertEqual(0, self.table.left_s("popular"))
+    self.assertEqual(0, self.table.remaining_s("popular"))
 
   def test_crashes_of_immediate_retries_count_each(self):
     """Guards against one request whose quick retries crash endpoint after endpoint."""
@@ -80,7 +80,7 @@
     self._crash_apart("other", 3, team="other")
     for number in range(1_000):
       self._crash(f"many{number}", "e", team="many")
-    self.assertTrue(self.table.left_s("other") > 0)
+    self.assertTrue(self.table.remaining_s("other") > 0)
     self.assertTrue(len(self.table._rows) <= 1 + quarantine._MAX_ROWS_PER_TEAM)
 
   def test_tables_are_bounded(self):
@@ -103,7 +103,7 @@
     verdict = quarantine.Verdict("x", "acme", 30.0)
     self.assertTrue(self.table.apply_verdict(verdict))
     self.assertFalse(self.table.apply_verdict(verdict._replace(left_s=90.0)))
-    self.assertEqual(30.0, self.table.left_s("x"))
+    self.assertEqual(30.0, self.table.remaining_s("x"))
     self.table.apply_verdict(verdict._replace(left_s=0.0))
-    self.assertEqual(0, self.table.left_s("x"))
+    self.assertEqual(0, self.table.remaining_s("x"))
     self.assertFalse(self.table.apply_verdict(verdict))
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -135,7 +135,9 @@
       await anyio.sleep(0.35)
 
   def unaware(self, request: str) -> list[int]:
-    return [n for n, table in self.tables.items() if not table.left_s(request)]
+    return [
+        n for n, table in self.tables.items() if not table.remaining_s(request)
+    ]
 
 
 def _member(i: int) -> members_lib.Member:
