--- a/mustardfall/api/calls.py
+++ b/mustardfall/api/calls.py
@@ -154,7 +154,7 @@
     """Notes the time to first token, for the metrics and the limits.
 
     Args:
-      steer: whether the time says how busy the endpoint is; a whole
+      adapt_limit: whether the time says how busy the endpoint is; a whole
         answer's time mostly says how long the answer was.
     """
     if self._answered:
