--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler: urgent first, deferrable never starved, shedding at once."""
+"""The scheduler: urgent first, deferrable not starved, excess load shed at once."""
 
 import time
 
@@ -32,22 +32,22 @@
 
 class SchedulerTest(testtools.TestCase):
 
-  def _finish_order(self, sched, wants):
-    """Queues `wants` behind a full endpoint; returns who got on first."""
+  def _finish_order(self, sched, slot_requests):
+    """Queues `slot_requests` behind a full endpoint; returns the order in which they got slots."""
     order = []
 
-    async def _one(want):
-      row = await sched.acquire(want)
+    async def _acquire(slot_request):
+      row = await sched.acquire(slot_request)
       if isinstance(row, scheduler.Shed):
         return
-      order.append(want.klass)
-      sched.release(row, want)
+      order.append(slot_request.klass)
+      sched.release(row, slot_request)
 
     async def go():
       held = [await sched.acquire(_URGENT) for _ in range(4)]
       async with anyio.create_task_group() as tg:
-        for want in wants:
-          tg.start_soon(_one, want)
+        for slot_request in slot_requests:
+          tg.start_soon(_acquire, slot_request)
         await anyio.sleep(0.02)
         for row in held:
           sched.release(row, _URGENT)
@@ -55,14 +55,14 @@
     anyio.run(go)
     return order
 
-  def test_urgent_overtakes_deferrable_that_came_first(self):
+  def test_urgent_overtakes_earlier_deferrable(self):
     sched, _ = _make()
     order = self._finish_order(sched, [_DEFERRABLE] * 3 + [_URGENT] * 3)
     self.assertEqual([model.Klass.URGENT] * 3, order[:3])
     self.assertEqual(6, len(order))
 
-  def test_deferrable_gets_one_place_in_four_under_urgent_load(self):
-    # Urgent requests never stop coming; deferrable ones still arrive.
+  def test_deferrable_gets_one_slot_in_four_under_urgent_load(self):
+    # Under a steady load of urgent requests, deferrable ones must not starve.
     sched, _ = _make()
     order = self._finish_order(sched, [_URGENT] * 12 + [_DEFERRABLE] * 2)
     self.assertIn(model.Klass.DEFERRABLE, order[:5])
@@ -73,8 +73,8 @@
     self.assertEqual(model.Klass.DEFERRABLE, order[0])
 
   def test_request_that_would_wait_too_long_is_refused_at_once(self):
-    # All places are taken and the line is long. A newcomer that could
-    # not get on in time hears so now, with the time to come back.
+    # All slots are taken and the queue is long. A new request that would not
+    # get a slot in time is refused at once, with the time to retry after.
     sched, _ = _make(deferrable_wait_s=5.0)
 
     async def go():
@@ -87,7 +87,7 @@
         row = sched._table.rows["e"]
         row.in_flight += 2
         sched.release(row, _DEFERRABLE)
-        sched.tick(1.0)  # about one place in five seconds comes free
+        sched.tick(1.0)  # about one slot is freed in five seconds
         started = time.monotonic()
         got = await sched.acquire(_DEFERRABLE)
         took = time.monotonic() - started
@@ -99,7 +99,7 @@
     self.assertLess(took, 0.5)
     self.assertGreater(got.retry_after_s, 5.0)
 
-  def test_leaving_endpoint_gets_nothing(self):
+  def test_leaving_endpoint_gets_no_requests(self):
     sched, _ = _make(state="leaving")
     got = anyio.run(sched.acquire, _URGENT)
     self.assertIsInstance(got, scheduler.Shed)
@@ -113,7 +113,7 @@
       table.adapt_limit(row, first_token_s, float(now))
       self.assertTrue(1.0 <= row.limit <= 64.0)
 
-  def test_limit_falls_fast_and_rises_slowly(self):
+  def test_limit_decreases_fast_and_increases_slowly(self):
     _, table = _make(limit=10.0)
     row = table.rows["e"]
     table.adapt_limit(row, 2.0, 1.0)
@@ -126,10 +126,10 @@
 class RetryBudgetTest(testtools.TestCase):
 
   @given(st.lists(st.booleans(), max_size=300))
-  def test_retries_stay_a_fifth_of_requests(self, moves):
+  def test_retries_stay_a_fifth_of_requests(self, steps):
     budget = retries.RetryBudget()
     requests = retried = 0
-    for is_request in moves:
+    for is_request in steps:
       if is_request:
         budget.deposit()
         requests += 1
