--- a/mustardfall/routing/orders.py
+++ b/mustardfall/routing/orders.py
@@ -1,15 +1,16 @@
-"""Orders to engines: which models they shall have loaded.
+"""Orders that make engines load and unload models.
 
-The catalogue's `placements` say what each engine shall serve. One router
-owns each engine, as with budgets, and brings it there step by step: it
-asks what is loaded (`GET /v1/models`) and orders what is missing or too
-much. Each order carries the catalogue's revision as its fencing token.
+The catalogue's `placements` say which models each engine should have loaded. Each
+engine is owned by one router, as budgets are. The owner reconciles the engine
+with its placement: it reads which models are loaded (`GET /v1/models`) and orders
+the engine to load or unload the difference. Each order carries the catalogue's
+revision as its fencing token.
 
-Engines that honour the token refuse an order from an older catalogue,
-say of a router that was paused while another took over. For those that
-ignore it, two things bound the harm: the revision is read again from the
-KV right before an order, and the owner keeps comparing, so a stale order
-that slips through is undone within two rounds.
+Engines that check the token refuse an order of an older catalogue, for example
+from a router that was paused while another one became the owner. For engines that
+ignore it, two measures limit the harm: the revision is read from the KV again
+right before each order, and the owner keeps reconciling, so that the effect of a
+stale order is undone within two rounds.
 """
 
 import collections
@@ -32,14 +33,14 @@
 
 
 class Orders:
-  """Keeps the engines that this router owns at their placements.
+  """Reconciles the engines that this router owns with their placements.
 
   Args:
     config: the router's settings, whole.
     http: an HTTP client.
     kv: the KV client.
-    members: who is up and owns what.
-    catalogue: what is in force.
+    members: tells which router owns an engine.
+    catalogue: the catalogue in force.
     table: the endpoints.
   """
 
@@ -61,7 +62,7 @@
     self.counts: collections.Counter[str] = collections.Counter()
 
   async def run(self) -> None:
-    """Compares and orders each `orders_s`, until cancelled."""
+    """Reconciles every `orders_s` seconds, until cancelled."""
     while True:
       await anyio.sleep(self._config.orders_s)
       current = self._catalogue.current
@@ -70,28 +71,28 @@
         if row is None or row.state != "live":
           continue
         if self._members.owner(name).life == self._members.me.life:
-          await self._bring(row, wanted, current.revision)
+          await self._reconcile(row, wanted, current.revision)
 
-  async def _bring(
+  async def _reconcile(
       self, row: endpoints.Row, wanted: frozenset[str], revision: int
   ) -> None:
-    """Orders what an engine lacks or has too much of."""
+    """Orders an engine to load missing models and unload superfluous ones."""
     try:
       reply = await self._http.get(row.url + "/v1/models", timeout=_TIMEOUT_S)
       loaded = {m["id"] for m in reply.json()["data"]}
       for model in sorted(wanted - loaded):
-        await self._order(row, "load", model, revision)
+        await self._send_order(row, "load", model, revision)
       for model in sorted(loaded - wanted):
-        await self._order(row, "unload", model, revision)
+        await self._send_order(row, "unload", model, revision)
     except (httpx.HTTPError, ValueError, KeyError, errors.Error):
-      self.counts["order_failures"] += 1  # compared again next time
+      self.counts["order_failures"] += 1  # retried in the next round
 
-  async def _order(
+  async def _send_order(
       self, row: endpoints.Row, order: str, model: str, revision: int
   ) -> None:
     if await store.read_revision(self._kv) != revision:
-      # This router is behind: the owner by the newer catalogue, maybe
-      # itself, orders from that.
+      # This router's catalogue is out of date. Once the newer one is in force,
+      # the engine's owner, possibly this router, reconciles with that.
       self.counts["orders_withheld"] += 1
       return
     reply = await self._http.post(
@@ -106,6 +107,6 @@
     reply.raise_for_status()
     self.counts["orders"] += 1
     logger.info(
-        "ordered",
+        "order sent to engine",
         extra={"endpoint": row.name, "order": order, "model": model},
     )
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines: placements, fencing tokens, engines that ignore them."""
+"""Orders to engines: placements, fencing tokens, and engines that ignore these."""
 
 import time
 
@@ -23,7 +23,7 @@
     return {m["id"] for m in reply.json()["data"]}
 
   def _order_late(self, revision: int, name: str) -> int:
-    """Sends what a router that was paused would send on waking."""
+    """Sends the order that a paused router would send when it resumes."""
     return httpx.post(
         self.urls[_ENGINE] + "/orders",
         json={"order": "load", "model": name},
@@ -31,10 +31,10 @@
     ).status_code
 
   def test_late_order_is_refused_or_undone(self):
-    # Operators place a model, then another in its stead. A router that
-    # was paused in between wakes and sends its old order. An engine that
-    # honours the token refuses it; the other kind takes it, and is set
-    # right again within two rounds.
+    # Operators place a model, then replace it by another. A router that was
+    # paused in between resumes and sends its old order. An engine that checks
+    # the token refuses the order; one that ignores it executes the order,
+    # which is undone within two rounds.
     for honours in (True, False):
       self.start(routers=2, engine={"honours_fencing": honours}, orders_s=0.3)
       old = self._place("appraisal", "adapter-1")
@@ -46,15 +46,15 @@
       self.assertEqual({"appraisal", "adapter-2"}, self._loaded())
       self.fleet.stop()
 
-  def test_router_behind_the_catalogue_sends_no_order(self):
-    # A router is cut off while the operators move a model. What it has
-    # in force is old; it must not order from it.
+  def test_router_with_an_outdated_catalogue_sends_no_order(self):
+    # A router is cut off from the KV while the operators replace a model. Its
+    # catalogue is out of date, so it must not send orders.
     self.start(orders_s=0.3, engine={"honours_fencing": False})
     self._place("appraisal", "adapter-1")
     self.wait_until(lambda: "adapter-1" in self._loaded())
     self.inject("kv", blocked=["router-1"])
     revision = self._place("appraisal", "adapter-2")
-    self._order_late(revision, "adapter-2")  # by a router that is not cut off
+    self._order_late(revision, "adapter-2")  # from a router that is not cut off
     before = self.standin_stats(_ENGINE)["orders"]
     time.sleep(1.0)
     self.assertEqual(before, self.standin_stats(_ENGINE)["orders"])
