--- a/mustardfall/idempotency.py
+++ b/mustardfall/idempotency.py
@@ -1,15 +1,15 @@
 """At-most-once records for calls with an Idempotency-Key, in the KV.
 
-Before such a call (a booking, a label, a payment) is sent, the router
-claims `idem/<entry>/<key>`; only the claim that the record names may
-send the call. The outcome is written after. A retry, on any router and
-after any router's death, finds the record: it gets the stored outcome,
-or "may have run" while the outcome is not known. The call is never sent
-twice within the time that records are kept.
-
-A claim carries an id of its own. Naming the router alone would let two
-tries at one router, one of them with a lost reply, both find "their"
-record and both send the call.
+Before such a call (a booking, a label, a payment) is sent, the router writes a
+claim to `idem/<entry>/<key>`; only the attempt whose claim is in the record may
+send the call. The outcome is recorded afterwards. A retry, on any router and also
+after a router has crashed, finds the record and gets the stored outcome, or "may
+have run" while the outcome is unknown. The call is never sent twice while its
+record is kept.
+
+Each claim has an id of its own. If a claim named only the router, two attempts on
+the same router, one of them after a lost reply, could both take the record for
+their own and both send the call.
 """
 
 import enum
@@ -25,42 +25,42 @@
 
 PREFIX = "idem/"
 _FINISH_WAIT_S = 0.3
-"""How long an answer waits for its outcome to be recorded."""
+"""How long the answer to the caller waits until the outcome is recorded."""
 
 
 class State(enum.StrEnum):
-  """Where a recorded call stands."""
+  """The state of a recorded call."""
 
   STARTED = "started"
   """Claimed; it may or may not have been sent."""
   DONE = "done"
-  """It ran; its answer is kept."""
+  """It ran; its answer is stored."""
   RAN = "ran"
-  """It ran; its answer is not kept (a model's)."""
+  """It ran; its answer, from a model, is not stored."""
   NOT_RUN = "not_run"
-  """It never ran; the key may be claimed again."""
+  """It did not run; the key may be claimed again."""
 
 
 class Record(TypedDict):
-  """A call's record in the KV."""
+  """The record of a call, as stored in the KV."""
 
   state: str
   claim: str
   status: int
   answer: Any
   fingerprint: NotRequired[str]
-  """Of the request that claimed the key; another's must not get its answer."""
+  """Of the request that claimed the key; a different one must not get its answer."""
 
 
 class Claim(NamedTuple):
-  """Claims the call for claim id `claim`, unless it was sent before."""
+  """Claims a call with claim id `claim`, unless the call may have run."""
 
   claim: str
   fingerprint: str = ""
 
 
 class Finish(NamedTuple):
-  """Records the outcome of the call that `claim` claimed."""
+  """Records the outcome of the call claimed with claim id `claim`."""
 
   claim: str
   state: State
@@ -83,8 +83,8 @@
 
 @change_lib.apply.register
 def _(change: Finish, record: Record | None) -> Record | None:
-  ours = record is not None and record["claim"] == change.claim
-  if not ours or record["state"] != State.STARTED:
+  is_own_claim = record is not None and record["claim"] == change.claim
+  if not is_own_claim or record["state"] != State.STARTED:
     return None
   return Record(
       state=change.state,
@@ -101,7 +101,7 @@
 
 
 def fingerprint(body: dict[str, Any]) -> str:
-  """Returns what tells one request's body from another's."""
+  """Returns a hash by which different request bodies are told apart."""
   text = json.dumps(body, sort_keys=True, separators=(",", ":"))
   return hashlib.blake2b(text.encode(), digest_size=12).hexdigest()
 
@@ -119,24 +119,24 @@
     writer: the router's batch writer.
     entry: the caller's catalogue entry.
     idem_key: the caller's Idempotency-Key.
-    claim_id: unique to this try.
+    claim_id: unique to this attempt.
     fingerprint_: the request's `fingerprint`.
 
   Returns:
-    None when the call is this try's to send; else the record of the
-    try that had it before.
+    None if this attempt may send the call; otherwise the record of the
+    attempt that claimed it before.
 
   Raises:
-    errors.KvUnavailableError: not known to be claimed; the call must not
-      be sent (not run).
+    errors.KvUnavailableError: the claim is not known to be recorded; the call
+      must not be sent and has not run.
   """
-  k = key(entry, idem_key)
+  record_key = key(entry, idem_key)
   try:
-    record = await writer.submit(k, Claim(claim_id, fingerprint_))
+    record = await writer.submit(record_key, Claim(claim_id, fingerprint_))
   except errors.KvUnknownError as exc:
-    # The claim may stand, and would tell retries "may have run" of a
-    # call that is never sent. So it is taken back when the KV answers.
-    writer.post(k, Finish(claim_id, State.NOT_RUN))
+    # The claim may be recorded, and retries would be told "may have run" for
+    # a call that is never sent. So it is withdrawn once the KV answers again.
+    writer.post(record_key, Finish(claim_id, State.NOT_RUN))
     raise errors.KvUnavailableError(str(exc)) from exc
   return None if record["claim"] == claim_id else record
 
@@ -144,18 +144,18 @@
 async def finish(
     writer: writer_lib.Writer, entry: str, idem_key: str, outcome: Finish
 ) -> None:
-  """Records a call's outcome, waiting a moment for the KV to take it.
+  """Records a call's outcome, waiting briefly until the KV has stored it.
 
-  The wait lets a caller's retry, on any router, find the outcome. When
-  the KV is slow the caller is answered all the same and the record says
-  `started` for longer: retries are told "may have run", which is true,
-  and the call is still never repeated.
+  The wait lets a retry by the caller, on any router, find the outcome. If the KV
+  is slow, the caller is answered nevertheless and the record stays `started` for
+  longer: retries are told "may have run", which is true, and the call is still
+  not repeated.
   """
-  k = key(entry, idem_key)
+  record_key = key(entry, idem_key)
   with anyio.move_on_after(_FINISH_WAIT_S):
     try:
-      await writer.submit(k, outcome)
+      await writer.submit(record_key, outcome)
       return
     except (errors.KvUnavailableError, errors.KvUnknownError):
       pass
-  writer.post(k, outcome)
+  writer.post(record_key, outcome)
--- a/tests/test_record_states.py
+++ b/tests/test_record_states.py
@@ -1,9 +1,9 @@
 """Stateful property test of the idempotency records.
 
-Hypothesis drives callers' tries of two keys through three routers, with
-lost replies, outages, partitions and deaths between claim and call and
-between call and outcome. A call is executed at most once; who is told
-"not run" relies on it; a kept answer is the one that the call gave.
+Hypothesis sends callers' attempts with two keys through three routers, with lost
+replies, outages, partitions, and crashes between claim and call and between call
+and outcome. A call must be executed at most once, also when a caller that was told
+"not run" retries, and a stored answer must be the one that the call gave.
 """
 
 import anyio
@@ -29,9 +29,9 @@
   def __init__(self):
     super().__init__()
     self.runs = dict.fromkeys(_KEYS, 0)
-    self.tries = 0
-    self.claimed = []  # (router, key, claim) that may send the call
-    self.sent = []  # the same, of calls that ran
+    self.attempts = 0
+    self.claimed = []  # (router, key, claim id) that may send the call
+    self.sent = []  # the same, for calls that ran
     self.portal_cm = from_thread.start_blocking_portal()
     self.portal = self.portal_cm.__enter__()
     self.portal.call(self._set_up)
@@ -66,8 +66,8 @@
 
   @stateful.rule(router=st.sampled_from(_ROUTERS), key=st.sampled_from(_KEYS))
   def claim(self, router, key):
-    self.tries += 1
-    name = f"{router}:{self.tries}"
+    self.attempts += 1
+    name = f"{router}:{self.attempts}"
 
     async def go():
       try:
