--- a/mustardfall/catalogue/__init__.py
+++ b/mustardfall/catalogue/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' catalogue: entries with owner, class and budget."""
+"""The operators' catalogue: an entry per API key, with its class and budget."""
--- a/mustardfall/catalogue/model.py
+++ b/mustardfall/catalogue/model.py
@@ -1,12 +1,12 @@
-"""Catalogue entries, their YAML form and its checks.
+"""The schema of catalogue files and its validation.
 
 A catalogue file looks like::
 
     base: 12          # optional: the revision this edit was made from
-    customers:        # optional; who is not named weighs overspend
+    customers:        # optional; the default for a customer is overspend
       - name: retourhuis
         weighs: false_refusals   # or overspend
-    placements:       # optional; engines not named are left alone
+    placements:       # optional; other engines are not managed
       - engine: engine-lier-a
         models: [appraisal]
     entries:
@@ -16,7 +16,7 @@
         class: deferrable   # or urgent
         api_key: sk-...
         model: appraisal
-        tokens: 200000      # the budget bought at creation
+        tokens: 200000      # the initial budget
 
 Top-ups change the budget, not the catalogue; see `budget.ledger`.
 """
@@ -30,14 +30,14 @@
 
 
 class Klass(enum.StrEnum):
-  """How soon a caller's work must reach a model."""
+  """The priority class of an entry's requests."""
 
   URGENT = "urgent"
   DEFERRABLE = "deferrable"
 
 
 PRIORITY = {Klass.URGENT: 0, Klass.DEFERRABLE: 10}
-"""Engine priority per class; lower runs first (vLLM convention)."""
+"""The priority sent to engines per class; lower runs first, as in vLLM."""
 
 
 class EntrySpec(pydantic.BaseModel):
@@ -57,7 +57,7 @@
 
 
 class CustomerSpec(pydantic.BaseModel):
-  """What a customer weighs more; see `budget.policy`."""
+  """Whether overspend or false refusals weigh more, see `budget.policy`."""
 
   model_config = pydantic.ConfigDict(extra="forbid", frozen=True)
 
@@ -66,7 +66,7 @@
 
 
 class PlacementSpec(pydantic.BaseModel):
-  """The models that an engine shall have loaded; see `routing.orders`."""
+  """The models that an engine should have loaded, see `routing.orders`."""
 
   model_config = pydantic.ConfigDict(extra="forbid", frozen=True)
 
@@ -85,7 +85,7 @@
   entries: list[EntrySpec]
 
   @pydantic.model_validator(mode="after")
-  def _unique(self) -> "CatalogueSpec":
+  def _check_unique(self) -> "CatalogueSpec":
     for field in ("name", "api_key"):
       values = [getattr(e, field) for e in self.entries]
       if len(values) != len(set(values)):
@@ -100,5 +100,9 @@
 
 
 def parse(data: object, source: str = "<catalogue>") -> CatalogueSpec:
-  """Checks a loaded catalogue file; raises `errors.SettingsError`."""
+  """Validates the parsed content of a catalogue file.
+
+  Raises:
+    errors.SettingsError: the content is not a valid catalogue.
+  """
   return settings.parse(data, CatalogueSpec, source=source)
--- a/mustardfall/catalogue/store.py
+++ b/mustardfall/catalogue/store.py
@@ -1,12 +1,11 @@
-"""Reading, applying and following the catalogue in the KV.
-
-Each entry is a key of its own, `catalogue/entry/<name>`, so that a
-change sends one entry to each router and the catalogue may outgrow a
-value's size. `catalogue/head` is rewritten with every change: apply is
-a compare-and-swap on its revision, so when two operators race, one wins
-and the other is told; nothing is overwritten silently. Followers only
-ever move to a higher revision, so an accepted change never reverts on a
-router, even when a stale read or a replayed event arrives late.
+"""Reads, changes and follows the catalogue in the KV.
+
+Each entry has its own key, `catalogue/entry/<name>`, so that a change sends only
+the changed entries to each router and the catalogue may exceed the size limit of a
+value. `catalogue/head` is rewritten by every change, as a compare-and-swap on its
+revision: of two concurrent changes one succeeds and the other fails with an error,
+and nothing is overwritten silently. Followers move only to higher revisions, so an
+accepted change is never reverted on a router by a stale read or a late event.
 """
 
 import datetime
@@ -34,31 +33,32 @@
 HEAD = PREFIX + "head"
 ENTRY = PREFIX + "entry/"
 _RETRY_S = 0.5
-"""Pause before a broken watch is opened again."""
-_OPS_A_WRITE = 100
-"""Entries written in one transaction (etcd allows 128 operations)."""
+"""Pause before a failed watch is opened again."""
+_OPS_PER_TXN = 100
+"""Operations per transaction (etcd allows 128)."""
 _READ_ATTEMPTS = 10
-_PAGE = 1000
-"""Entries read in one call, to stay well under a megabyte."""
+"""Reads that are discarded because of concurrent changes before giving up."""
+_PAGE_SIZE = 1000
+"""Entries read per call, which keeps a response well below a megabyte."""
 
 
-class _Read(NamedTuple):
-  """The catalogue as the KV holds it."""
+class _Snapshot(NamedTuple):
+  """The catalogue in the KV at one revision."""
 
   revision: int
-  """The head's: it rises with every change (0: there is none)."""
-  at: int
-  """The KV's own revision when the first page was read."""
+  """Of the catalogue's head; it increases with every change (0: no catalogue)."""
+  read_at: int
+  """The revision of the KV when the first page was read."""
   head: table_lib.Head
   entries: list[model.EntrySpec]
 
 
-def _entry(record: protocol.Record) -> model.EntrySpec:
+def _decode_entry(record: protocol.Record) -> model.EntrySpec:
   data = json.loads(record.value)
   return settings.parse(data, model.EntrySpec, record.key)
 
 
-def _head(record: protocol.Record) -> table_lib.Head:
+def _decode_head(record: protocol.Record) -> table_lib.Head:
   data = json.loads(record.value)
   return table_lib.Head(
       [
@@ -77,42 +77,44 @@
   return json.dumps(body, sort_keys=True).encode()
 
 
-async def _read(kv: kv_client.Client) -> _Read:
-  """Reads the whole catalogue as it stood at one revision.
+async def _read_snapshot(kv: kv_client.Client) -> _Snapshot:
+  """Reads the whole catalogue at one revision.
 
-  Pages are read one after the other. Had a change come in between, some
-  would show it and some not, and its events would look like old news. But
-  each change rewrites the head, which is read last: a head newer than the
-  first page says so, and all is read again.
+  Pages are read one after the other. If the catalogue is changed in between, only
+  the later pages contain the change, and its events would be ignored as old. Each
+  change rewrites the head, which is read last, so a head that is newer than the
+  first page reveals this, and the catalogue is read again.
   """
   for _ in range(_READ_ATTEMPTS):
-    at, revision, head, entries = 0, 0, table_lib.NO_HEAD, []
-    async for page_revision, records in kv.get_pages(PREFIX, _PAGE):
-      at = at or page_revision
+    read_at, revision, head, entries = 0, 0, table_lib.NO_HEAD, []
+    async for page_revision, records in kv.get_pages(PREFIX, _PAGE_SIZE):
+      read_at = read_at or page_revision
       for record in records:
         if record.key == HEAD:
-          revision, head = record.mod_revision, _head(record)
+          revision, head = record.mod_revision, _decode_head(record)
         else:
-          entries.append(_entry(record))
-    if revision <= at:
-      return _Read(revision, at, head, entries)
-  raise errors.KvUnavailableError("the catalogue changes while it is read")
+          entries.append(_decode_entry(record))
+    if revision <= read_at:
+      return _Snapshot(revision, read_at, head, entries)
+  raise errors.KvUnavailableError(
+      f"the catalogue changed during each of {_READ_ATTEMPTS} reads"
+  )
 
 
 async def read(kv: kv_client.Client) -> tuple[int, model.CatalogueSpec | None]:
-  """Returns the catalogue's revision and contents (0, None if absent)."""
-  found = await _read(kv)
-  if not found.revision:
+  """Returns the revision and content of the catalogue (0, None if absent)."""
+  snapshot = await _read_snapshot(kv)
+  if not snapshot.revision:
     return 0, None
-  return found.revision, model.CatalogueSpec(
-      customers=found.head.customers,
-      placements=found.head.placements,
-      entries=found.entries,
+  return snapshot.revision, model.CatalogueSpec(
+      customers=snapshot.head.customers,
+      placements=snapshot.head.placements,
+      entries=snapshot.entries,
   )
 
 
 async def read_revision(kv: kv_client.Client) -> int:
-  """Returns the revision of the catalogue in the KV (0: there is none)."""
+  """Returns the revision of the catalogue in the KV, 0 if absent."""
   record = await kv.get(HEAD)
   return record.mod_revision if record else 0
 
@@ -120,92 +122,95 @@
 async def apply(
     kv: kv_client.Client, spec: model.CatalogueSpec, only: bool = False
 ) -> int:
-  """Writes `spec` if the catalogue is still at `spec.base`.
+  """Writes `spec` if the catalogue is still at revision `spec.base`.
 
-  New entries get their budget created with `tokens`; existing budgets
-  are left alone (top-ups go through `budget.ledger.TopUp`). A change of
-  more than a hundred entries is written in several steps, each under the
-  same check; an operator who loses the race in the middle is told.
+  For new entries, a budget of `tokens` is created; existing budgets are not
+  changed (top-ups go through `budget.ledger.TopUp`). A change of more than a
+  hundred entries is written in batches, each checked in the same way. A concurrent
+  change between two batches raises an error when the first are already written.
 
   Args:
     kv: the KV client.
     spec: the catalogue, or with `only` the entries to add or change.
-    only: leave what `spec` does not name alone.
+    only: leave everything that `spec` does not name unchanged.
 
   Returns:
     The new revision.
 
   Raises:
-    errors.CatalogueRaceLostError: the revision moved since `spec.base`, or
-      since our read when no base was given.
+    errors.CatalogueRaceLostError: the catalogue was changed since `spec.base`,
+      or since it was read here if `spec` has no base.
   """
-  found = await _read(kv)
-  base = found.revision if spec.base is None else spec.base
-  if base != found.revision:
+  snapshot = await _read_snapshot(kv)
+  base = snapshot.revision if spec.base is None else spec.base
+  if base != snapshot.revision:
     raise errors.CatalogueRaceLostError(
-        f"catalogue is at {found.revision}, not {base}"
+        f"catalogue is at {snapshot.revision}, not {base}"
     )
-  # Before the entries: an entry in force without its budget would have
-  # its callers refused.
+  # Budgets come first: callers of an entry without a budget would be refused.
   await _create_budgets(kv, spec)
-  ops = _changes(found, spec, only)
-  head = _merge_heads(found.head, spec, only)
-  revision = found.revision
-  for i in range(0, max(1, len(ops)), _OPS_A_WRITE):
-    step = ops[i : i + _OPS_A_WRITE]
-    revision = await _write_step(kv, revision, head, step)
+  ops = _diff(snapshot, spec, only)
+  head = _merge_head(snapshot.head, spec, only)
+  revision = snapshot.revision
+  for i in range(0, max(1, len(ops)), _OPS_PER_TXN):
+    batch = ops[i : i + _OPS_PER_TXN]
+    revision = await _write_batch(kv, revision, head, batch)
   return revision
 
 
-def _changes(
-    found: _Read, spec: model.CatalogueSpec, only: bool
+def _diff(
+    snapshot: _Snapshot, spec: model.CatalogueSpec, only: bool
 ) -> list[dict[str, Any]]:
-  """Returns the operations that turn what is there into `spec`."""
-  there = {e.name: e for e in found.entries}
+  """Returns the operations that change the entries in the KV into `spec`'s."""
+  existing = {e.name: e for e in snapshot.entries}
   ops = [
       protocol.Put(ENTRY + e.name, _encode(e))
       for e in spec.entries
-      if there.get(e.name) != e
+      if existing.get(e.name) != e
   ]
   if not only:
     wanted = {e.name for e in spec.entries}
-    ops += [protocol.Delete(ENTRY + n) for n in there if n not in wanted]
-  _check_keys(there, spec, only)
+    ops += [protocol.Delete(ENTRY + n) for n in existing if n not in wanted]
+  _check_api_keys(existing, spec, only)
   return ops
 
 
-def _check_keys(
-    there: dict[str, model.EntrySpec], spec: model.CatalogueSpec, only: bool
+def _check_api_keys(
+    existing: dict[str, model.EntrySpec], spec: model.CatalogueSpec, only: bool
 ) -> None:
-  """Refuses an API key that another entry has."""
+  """Raises an error if an API key is used by another entry."""
   if not only:
-    return  # the file itself was checked
+    return  # `spec` is complete, and its keys were checked when it was parsed
   changed = {e.name for e in spec.entries}
-  taken = {e.api_key: n for n, e in there.items() if n not in changed}
+  taken = {e.api_key: n for n, e in existing.items() if n not in changed}
   for entry in spec.entries:
     if entry.api_key in taken:
       raise errors.SettingsError(
-          f"{entry.name}: its api_key is {taken[entry.api_key]}'s"
+          f"{entry.name}: api_key is already used by {taken[entry.api_key]}"
       )
 
 
-def _merge_heads(
-    there: table_lib.Head, spec: model.CatalogueSpec, only: bool
+def _merge_head(
+    existing: table_lib.Head, spec: model.CatalogueSpec, only: bool
 ) -> table_lib.Head:
   if not only:
     return table_lib.Head(spec.customers, spec.placements)
-  customers = {c.name: c for c in [*there.customers, *spec.customers]}
-  placements = {p.engine: p for p in [*there.placements, *spec.placements]}
+  customers = {c.name: c for c in [*existing.customers, *spec.customers]}
+  placements = {p.engine: p for p in [*existing.placements, *spec.placements]}
   return table_lib.Head(list(customers.values()), list(placements.values()))
 
 
-async def _write_step(
+async def _write_batch(
     kv: kv_client.Client,
     revision: int,
     head: table_lib.Head,
     ops: list[dict[str, Any]],
 ) -> int:
-  """Writes `ops` and the head, if the head is still at `revision`."""
+  """Writes `ops` and the head in one transaction; returns the new revision.
+
+  Raises:
+    errors.CatalogueRaceLostError: the head is no longer at `revision`.
+  """
   value = json.dumps(
       {
           "customers": [c.model_dump(mode="json") for c in head.customers],
@@ -220,21 +225,23 @@
         [*ops, protocol.Put(HEAD, value)],
     )
   except errors.KvUnknownError:
-    # Lost reply: the write may have landed. It did if the head is ours:
-    # no two edits write the same head, whoever made them.
+    # The reply was lost and the transaction may have been committed. It was if
+    # the head has the value written here, since `edit` is unique to each write.
     record = await kv.get(HEAD)
     if record is None or record.value != value:
       raise
     return record.mod_revision
   if not result.succeeded:
-    raise errors.CatalogueRaceLostError(f"catalogue moved past {revision}")
+    raise errors.CatalogueRaceLostError(
+        f"the catalogue was changed since revision {revision}"
+    )
   return result.revision
 
 
 async def _create_budgets(
     kv: kv_client.Client, spec: model.CatalogueSpec
 ) -> None:
-  """Creates the budgets that the KV does not hold yet, in batches."""
+  """Creates the budgets that don't exist in the KV yet, in batches."""
   writer = writer_lib.Writer(
       kv,
       settings.Writer(interval_s=0.0, linger_s=0.0),
@@ -250,13 +257,13 @@
 
 
 class Follower:
-  """Keeps the newest catalogue seen, by watching the KV.
+  """Keeps a table of the newest catalogue by watching the KV.
 
   Args:
     kv: the KV client.
-    bus: told of each newer catalogue.
+    bus: `CATALOGUE_CHANGED` is emitted on it for each newer catalogue.
     clock: the time source.
-    idle_s: a watch silent for this long is opened again.
+    idle_s: a watch without any message for this long is opened again.
   """
 
   def __init__(
@@ -272,44 +279,44 @@
     self._idle_s = idle_s
     self.current = table_lib.Table()
     self.since: datetime.datetime | None = None
-    """When what is in force came into force, UTC."""
+    """When the current catalogue came into force, UTC."""
 
   async def follow(self) -> None:
-    """Reads, then watches; on any break re-reads and watches again."""
+    """Reads the catalogue, then watches it; starts over when the watch fails."""
     while True:
       try:
-        found = await _read(self._kv)
-        if found.revision and self.current.replace(
-            found.revision, found.entries, found.head
+        snapshot = await _read_snapshot(self._kv)
+        if snapshot.revision and self.current.replace(
+            snapshot.revision, snapshot.entries, snapshot.head
         ):
           self._note_change()
-        await self._watch(found.at + 1)
+        await self._watch(snapshot.read_at + 1)
       except (errors.KvUnavailableError, errors.KvUnknownError) as exc:
-        logger.debug("catalogue watch broke: %s", exc)
+        logger.debug("watching the catalogue failed: %s", exc)
       except errors.SettingsError as exc:
-        # Written past our CLI and not readable: what is in force stays.
-        logger.error("catalogue refused: %s", exc)
+        # Not written by this project's CLI; the catalogue in force is kept.
+        logger.error("invalid catalogue in the KV ignored: %s", exc)
       await anyio.sleep(_RETRY_S)
 
   async def _watch(self, start_revision: int) -> None:
     changes = self._kv.watch(PREFIX, start_revision, self._idle_s)
     async for event in changes:
-      self.take(event)
+      self.apply_event(event)
 
-  def take(self, event: protocol.Event) -> None:
-    """Puts one change in force, unless it is older than what is."""
+  def apply_event(self, event: protocol.Event) -> None:
+    """Applies one change, unless it is older than the catalogue in force."""
     record = event.record
     if record.key == HEAD:
-      # The head is written last in each change: now all of it is here.
+      # Each change writes the head last, so it has been received completely.
       if not event.deleted and self.current.set_head(
-          record.mod_revision, _head(record)
+          record.mod_revision, _decode_head(record)
       ):
         self._note_change()
     elif event.deleted:
       name = record.key.removeprefix(ENTRY)
       self.current.remove(record.mod_revision, name)
     else:
-      self.current.put(record.mod_revision, _entry(record))
+      self.current.put(record.mod_revision, _decode_entry(record))
 
   def _note_change(self) -> None:
     self.since = self._clock.wall()
--- a/mustardfall/catalogue/table.py
+++ b/mustardfall/catalogue/table.py
@@ -1,10 +1,10 @@
 """The catalogue in force on a router, as a compact table.
 
-At the two-year size it has 690,000 entries. A dict of entry objects
-would cost a router near a gigabyte, so the entries read at the start are
-kept as columns, sorted by the digest of their API key; changes since
-then lie over them in a dict. A router is replaced within days, so the
-overlay stays small and is never merged.
+It is designed for 690,000 entries. A dict of entry objects would take nearly a
+gigabyte per router, so the entries read at the start are stored as columns, sorted
+by the digest of their API key. Later changes are kept in a dict, the overlay, which
+takes precedence. Routers are replaced within days, so the overlay stays small and
+is never merged into the columns.
 """
 
 import array
@@ -19,12 +19,12 @@
 
 
 def digest(api_key: str) -> bytes:
-  """Returns the digest by which an API key is looked up."""
+  """Returns the digest by which an API key's entry is found."""
   return hashlib.blake2b(api_key.encode(), digest_size=_DIGEST_BYTES).digest()
 
 
 class Head(NamedTuple):
-  """What the catalogue holds besides its entries."""
+  """The parts of the catalogue other than its entries."""
 
   customers: list[model.CustomerSpec]
   placements: list[model.PlacementSpec]
@@ -34,7 +34,7 @@
 
 
 class CallerEntry(NamedTuple):
-  """What a router needs to know of a caller's entry."""
+  """The fields of an entry that a router needs to serve its caller."""
 
   name: str
   customer: str
@@ -43,8 +43,8 @@
   model: str
 
 
-class _Shared(NamedTuple):
-  """What many entries have in common, kept once."""
+class _Common(NamedTuple):
+  """Fields whose values many entries share; each combination is stored once."""
 
   customer: str
   team: str
@@ -52,33 +52,33 @@
   model: str
 
 
-def _shared(entry: model.EntrySpec) -> _Shared:
-  return _Shared(entry.customer, entry.team, entry.klass, entry.model)
+def _common(entry: model.EntrySpec) -> _Common:
+  return _Common(entry.customer, entry.team, entry.klass, entry.model)
 
 
 class _Columns:
-  """Entries as columns, in the order of their key's digest."""
+  """Entries as columns, in the order of their API key's digest."""
 
   def __init__(self, entries: Iterable[model.EntrySpec]) -> None:
     digests, names = bytearray(), bytearray()
-    ends, kinds = array.array("I", [0]), array.array("I")
-    numbers: dict[_Shared, int] = {}
+    ends, ids = array.array("I", [0]), array.array("I")
+    common_ids: dict[_Common, int] = {}
     for entry in entries:
       digests += digest(entry.api_key)
       names += entry.name.encode()
       ends.append(len(names))
-      kinds.append(numbers.setdefault(_shared(entry), len(numbers)))
-    order = sorted(range(len(kinds)), key=lambda i: _at(digests, i))
+      ids.append(common_ids.setdefault(_common(entry), len(common_ids)))
+    order = sorted(range(len(ids)), key=lambda i: _at(digests, i))
     self._digests = b"".join(_at(digests, i) for i in order)
     self._rows = array.array("I", order)
-    self._names, self._ends, self._kinds = bytes(names), ends, kinds
-    self._shared = list(numbers)
+    self._names, self._ends, self._common_ids = bytes(names), ends, ids
+    self._common = list(common_ids)
 
   def __len__(self) -> int:
     return len(self._rows)
 
   def find(self, wanted: bytes) -> CallerEntry | None:
-    """Returns the entry whose key has the digest `wanted`, or None."""
+    """Returns the entry whose API key has the digest `wanted`, or None."""
     low, high = 0, len(self._rows)
     while low < high:
       middle = (low + high) // 2
@@ -90,7 +90,7 @@
       return None
     row = self._rows[low]
     name = self._names[self._ends[row] : self._ends[row + 1]].decode()
-    return CallerEntry(name, *self._shared[self._kinds[row]])
+    return CallerEntry(name, *self._common[self._common_ids[row]])
 
 
 def _at(digests: bytes | bytearray, i: int) -> bytes:
@@ -98,18 +98,19 @@
 
 
 class Table:
-  """Every entry in force at `revision`, found by API key."""
+  """The catalogue in force, at `revision`; entries are found by API key."""
 
   def __init__(self) -> None:
     self.revision = 0
     self._base = _Columns([])
-    self._changed: dict[str, bytes | None] = {}
-    """Names changed since the base, to their key's digest (None: gone)."""
-    self._over: dict[bytes, CallerEntry] = {}
-    """Changed entries by their key's digest."""
+    self._changed_digests: dict[str, bytes | None] = {}
+    """Digest of the API key, by the name of each entry changed since `_base` was
+    read; None: the entry was removed."""
+    self._overlay: dict[bytes, CallerEntry] = {}
+    """Entries changed since `_base` was read, by the digest of their API key."""
     self._weighs: dict[str, policy.Weighs] = {}
     self.placements: dict[str, frozenset[str]] = {}
-    """The models that engines shall have loaded, by the engine's name."""
+    """The models that engines should have loaded, by the engine's name."""
 
   def replace(
       self,
@@ -117,16 +118,16 @@
       entries: Iterable[model.EntrySpec],
       head: "Head",
   ) -> bool:
-    """Takes a whole catalogue, unless it is older; returns whether."""
+    """Replaces the whole catalogue; returns False if `revision` is older."""
     if revision < self.revision:
       return False
     self._base = _Columns(entries)
-    self._changed, self._over = {}, {}
+    self._changed_digests, self._overlay = {}, {}
     self.set_head(revision, head)
     return True
 
   def set_head(self, revision: int, head: "Head") -> bool:
-    """Takes weightings and placements, unless older; returns whether."""
+    """Replaces weightings and placements; returns False if `revision` is older."""
     if revision < self.revision:
       return False
     self._weighs = {c.name: c.weighs for c in head.customers}
@@ -135,40 +136,40 @@
     return True
 
   def put(self, revision: int, entry: model.EntrySpec) -> bool:
-    """Takes one entry, unless it is older; returns whether.
+    """Adds or replaces an entry; returns False if `revision` is older.
 
-    Revisions only rise: a late event or a stale read must not take back
-    a change that callers have seen in force.
+    The revision never decreases: a late event or a stale read must not revert a
+    change that callers have already seen in force.
     """
     if not self.remove(revision, entry.name):
       return False
     key = digest(entry.api_key)
-    self._changed[entry.name] = key
-    self._over[key] = CallerEntry(entry.name, *_shared(entry))
+    self._changed_digests[entry.name] = key
+    self._overlay[key] = CallerEntry(entry.name, *_common(entry))
     return True
 
   def remove(self, revision: int, name: str) -> bool:
-    """Removes one entry, unless that is older; returns whether."""
+    """Removes an entry; returns False if `revision` is older."""
     if revision < self.revision:
       return False
     self.revision = revision
-    old = self._changed.get(name)
-    if old is not None and self._over[old].name == name:
-      del self._over[old]
-    self._changed[name] = None
+    old = self._changed_digests.get(name)
+    if old is not None and self._overlay[old].name == name:
+      del self._overlay[old]
+    self._changed_digests[name] = None
     return True
 
   def find(self, api_key: str) -> CallerEntry | None:
     """Returns the entry of `api_key`, or None."""
     key = digest(api_key)
-    found = self._over.get(key)
+    found = self._overlay.get(key)
     if found is None:
       found = self._base.find(key)
-      if found is not None and found.name in self._changed:
-        return None  # the key was changed or the entry removed
+      if found is not None and found.name in self._changed_digests:
+        return None  # its API key was changed, or it was removed
     return found
 
   def policy_of(self, customer: str) -> policy.Policy:
-    """Returns how the edge of the customer's budgets is treated."""
+    """Returns how the customer's budgets are treated when they run low."""
     weighs = self._weighs.get(customer, policy.Weighs.OVERSPEND)
     return policy.POLICIES[weighs]
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -20,9 +20,9 @@
 class IdempotencyTest(testtools.TestCase):
 
   def test_retry_while_first_try_is_unfinished_is_told_may_have_run(self):
-    # The caller's retry reaches router 2 while router 1's call is still
-    # recorded as started (router 1 died mid-call): router 2 does not
-    # send it again and answers "may have run".
+    # Router 1 crashed during the call and the record says "started". The
+    # caller's retry reaches router 2, which must not send the call again and
+    # answers "may have run".
     async def go():
       kv, _ = kvfake.make()
       async with kvfake.writing(kv) as writer:
@@ -35,9 +35,9 @@
     self.assertEqual(idempotency.State.STARTED, second["state"])
 
   def test_claim_with_lost_reply_is_still_ours_once(self):
-    # The claim's reply is lost after it landed; the router re-reads,
-    # sees its own record, and runs the call; nobody else may, and
-    # neither may a second try at the same router.
+    # The KV stores the claim and the reply is lost. The router reads the record,
+    # finds its own claim and runs the call. No other router and no second
+    # attempt on the same router may run it.
     async def go():
       kv, server = kvfake.make()
       server.faults.lose_replies = 1
@@ -64,9 +64,9 @@
     self.assertIsNone(anyio.run(go))
 
   def test_claim_given_up_in_an_outage_does_not_block_the_retry(self):
-    # The KV takes the claim, loses the reply and goes down, so the call
-    # is not sent and the caller told "not run". The claim is taken back
-    # when the KV answers again, and the caller's retry runs.
+    # The KV stores the claim, the reply is lost and the KV goes down. The call
+    # is not sent and the caller is told "not run". The claim is withdrawn when
+    # the KV answers again, and the caller's retry runs.
     async def go():
       kv, server = kvfake.make()
       server.change_faults({"lose_replies": 1, "down_after_loss": True})
@@ -120,8 +120,8 @@
     self.assertEqual(2, len(found.customers))
 
   def test_apply_with_lost_reply_is_not_reported_as_lost_race(self):
-    # The write landed and its reply was lost. The operator is told the
-    # truth: applied; and the next edit from that revision goes through.
+    # The transaction is committed and its reply is lost. The operator must be
+    # told that it was applied, and get the revision for the next edit.
     async def go():
       kv, server = kvfake.make()
       base = await store.apply(kv, sample.catalogue())
@@ -144,9 +144,9 @@
     self.assertEqual((revision, 5), (read_at, len(found.entries)))
 
   def test_change_while_pages_are_read_is_not_half_seen(self):
-    # A router starts and reads the catalogue page by page; an operator's
-    # change lands between two pages. The router must not put a mixture
-    # in force, nor miss the change later as old news.
+    # An operator changes the catalogue while a router that starts reads it page
+    # by page. The router must not put a mixture of both revisions in force, and
+    # must not ignore the change's events as old.
     async def go():
       kv, _ = kvfake.make()
       await store.apply(kv, sample.catalogue())
@@ -164,12 +164,12 @@
             kv.get_pages = _get_pages
 
       kv.get_pages = _get_pages
-      return await store._read(kv)
+      return await store._read_snapshot(kv)
 
     found = anyio.run(go)
     teams = {e.name: e.team for e in found.entries}
     self.assertEqual("new", teams[sample.catalogue().entries[0].name])
-    self.assertLessEqual(found.revision, found.at)
+    self.assertLessEqual(found.revision, found.read_at)
 
 
 class TableTest(testtools.TestCase):
@@ -187,28 +187,32 @@
     return protocol.Event(deleted, record)
 
   def test_follower_never_goes_back_a_revision(self):
-    # A late watch event or stale read carries an older catalogue; the
-    # router keeps the newer one in force.
+    # A late watch event or a stale read has an older revision; the router must
+    # keep the newer one in force.
     follower = self._follower()
     spec = sample.catalogue()
     entry = spec.entries[0]
     self.assertTrue(follower.current.replace(9, spec.entries, table.NO_HEAD))
-    follower.take(self._event(12, entry.model_copy(update={"team": "new"})))
-    follower.take(self._event(11, entry.model_copy(update={"team": "old"})))
-    follower.take(self._event(10, entry, deleted=True))
+    follower.apply_event(
+        self._event(12, entry.model_copy(update={"team": "new"}))
+    )
+    follower.apply_event(
+        self._event(11, entry.model_copy(update={"team": "old"}))
+    )
+    follower.apply_event(self._event(10, entry, deleted=True))
     self.assertFalse(follower.current.replace(8, [], table.NO_HEAD))
     self.assertEqual(12, follower.current.revision)
     self.assertEqual("new", follower.current.find(entry.api_key).team)
 
   def test_changed_key_and_removed_entry_are_refused(self):
-    # A key taken away must not go on drawing on its budget.
+    # An API key that was replaced or removed must not use its budget any more.
     follower = self._follower()
     spec = sample.catalogue()
     first, second = spec.entries[:2]
     follower.current.replace(9, spec.entries, table.NO_HEAD)
     rekeyed = first.model_copy(update={"api_key": "sk-another-one"})
-    follower.take(self._event(10, rekeyed))
-    follower.take(self._event(11, second, deleted=True))
+    follower.apply_event(self._event(10, rekeyed))
+    follower.apply_event(self._event(11, second, deleted=True))
     find = follower.current.find
     self.assertIsNone(find(first.api_key))
     self.assertIsNone(find(second.api_key))
@@ -217,12 +221,12 @@
   @given(
       st.lists(st.tuples(st.integers(0, 9), st.integers(0, 14)), max_size=40)
   )
-  def test_table_finds_what_a_dict_would(self, moves):
+  def test_table_finds_what_a_dict_would(self, changes):
     current = table.Table()
     entries = sample.catalogue().entries
     current.replace(1, entries[:5], table.NO_HEAD)
     expected = {e.api_key: e.name for e in entries[:5]}
-    for revision, (at, key) in enumerate(moves, start=2):
+    for revision, (at, key) in enumerate(changes, start=2):
       name = entries[at].name
       expected = {k: n for k, n in expected.items() if n != name}
       if key > 9:
