--- a/tests/test_loads.py
+++ b/tests/test_loads.py
@@ -1,11 +1,11 @@
-"""Routers that know each other's loads keep first tokens in time.
-
-Pattern: the users' streams on a calm day, 19 appraisals and notices and 22
-label texts a second over nine engines and nine routers, at the day's start
-with nothing cached. Each router sees a ninth of what is at an engine. One
-that knows no more sends long prompts behind others' long prompts: the
-slowest tenth of first tokens came late. Engines here read prompts one after
-the other, 64 tokens a ms, and keep what they have read.
+"""Routers that share their loads keep the times to first token within target.
+
+The load is that of the users' streams on a calm day: 19 appraisals and notices and
+22 label texts a second over nine engines and nine routers, with empty caches at
+the start. Each router sends a ninth of an engine's requests. Routers that know
+only their own load queue long prompts behind other routers' long prompts, and the
+slowest tenth of first tokens came late. The simulated engines prefill one prompt
+at a time, 64 tokens per ms, and keep all prefixes cached.
 """
 
 import heapq
@@ -25,7 +25,7 @@
 _SECONDS = 12.0
 _TOKENS_PER_S = 64_200.0
 _STREAM_S = 1.0
-"""How long a stream goes on after its first token."""
+"""Duration of a stream after its first token."""
 _KINDS = (
     # requests a second, prefixes, shared tokens, own tokens, objective
     (10.3, 116, 13_300, 3_720, 0.8),
@@ -35,7 +35,7 @@
 
 
 class _Router:
-  """One router's view: its own table, and what it is told, if anything."""
+  """One router's table of endpoints and the loads reported to it."""
 
   def __init__(self, number: int) -> None:
     self.table = endpoints.Table(settings.Scheduler())
@@ -53,8 +53,8 @@
     self.loads = loads.Loads(self.table, f"r{number}:e")
 
 
-class _Day:
-  """Plays seeded traffic in virtual time; collects late first tokens."""
+class _Simulation:
+  """Simulates seeded traffic in virtual time; counts late first tokens."""
 
   def __init__(self, seed: int, shared: bool) -> None:
     self._random = random.Random(seed)
@@ -67,11 +67,11 @@
     self.late = 0
     self.served = 0
 
-  def _later(self, at, step):
+  def _schedule(self, at, step):
     self._order += 1
     heapq.heappush(self._events, (at, self._order, step))
 
-  def _tell(self, router, now):
+  def _send_report(self, router, now):
     if self._shared:
       report = loads.decode(loads.encode(router.loads.report()))
       for other in self._routers:
@@ -88,7 +88,7 @@
     row.in_flight += 1
     row.prefill_s += place.prefill_s
     router.loads.note_sent(row.name, name, now)
-    self._tell(router, now)
+    self._send_report(router, now)
     tokens = own if (name, row.name) in self._cached else own + shared
     begin = max(now, self._free_at[row.name])
     first = begin + tokens / _TOKENS_PER_S
@@ -99,20 +99,20 @@
 
     def _read(at):
       row.prefill_s -= place.prefill_s
-      self._tell(router, at)
+      self._send_report(router, at)
 
     def _end(at):
       row.in_flight -= 1
-      self._tell(router, at)
+      self._send_report(router, at)
 
-    self._later(first, _read)
-    self._later(first + _STREAM_S, _end)
+    self._schedule(first, _read)
+    self._schedule(first + _STREAM_S, _end)
 
-  def play(self) -> "_Day":
+  def run(self) -> "_Simulation":
     for kind in _KINDS:
       at = self._random.expovariate(kind[0])
       while at < _SECONDS:
-        self._later(at, lambda now, kind=kind: self._arrive(now, kind))
+        self._schedule(at, lambda now, kind=kind: self._arrive(now, kind))
         at += self._random.expovariate(kind[0])
     while self._events:
       at, _, step = heapq.heappop(self._events)
@@ -123,8 +123,8 @@
 class SharedLoadTest(testtools.TestCase):
 
   def test_fewer_first_tokens_are_late(self):
-    alone = sum(_Day(seed, shared=False).play().late for seed in range(6))
-    shared = sum(_Day(seed, shared=True).play().late for seed in range(6))
+    alone = sum(_Simulation(seed, shared=False).run().late for seed in range(6))
+    shared = sum(_Simulation(seed, shared=True).run().late for seed in range(6))
     self.assertTrue(shared * 3 <= alone * 2, (shared, alone))
 
 
@@ -135,20 +135,20 @@
     self.router = _Router(0)
     self.row = self.router.table.rows["i-0"]
 
-  def _take(self, sender, number, now, in_flight=2):
+  def _report(self, sender, number, now, in_flight=2):
     load = {"i-0": loads.Load(in_flight, 0.5), "i-gone": loads.Load(1, 0.1)}
     self.router.loads.apply_report(loads.Report(sender, number, load, {}), now)
 
   def test_adds_up_over_routers(self):
-    self._take("r1:e", 1, 0.0)
-    self._take("r2:e", 1, 0.1, in_flight=3)
+    self._report("r1:e", 1, 0.0)
+    self._report("r2:e", 1, 0.1, in_flight=3)
     self.assertEqual(
         (5, 1.0), (self.row.others_in_flight, self.row.others_prefill_s)
     )
 
-  def test_late_datagram_is_passed_over(self):
-    self._take("r1:e", 2, 0.0, in_flight=0)
-    self._take("r1:e", 1, 0.1, in_flight=9)
+  def test_late_datagram_is_ignored(self):
+    self._report("r1:e", 2, 0.0, in_flight=0)
+    self._report("r1:e", 1, 0.1, in_flight=9)
     self.assertEqual(0, self.row.others_in_flight)
 
   @given(
@@ -164,9 +164,9 @@
           max_size=20,
       )
   )
-  def test_sums_are_the_same_added_up_anew(self, reports):
-    # Reports come in any order and number; a report takes the place of the
-    # one that its router sent before, and no load may stay behind.
+  def test_sums_equal_recomputed_sums(self, reports):
+    # Reports arrive in any order and number. Each replaces the previous one of
+    # its router, and no load of a replaced report may remain in the sums.
     router = _Router(0)
     for sender, number, rows in reports:
       found = {life: loads.Load(n, n / 8) for life, n in rows.items()}
@@ -179,10 +179,10 @@
     anew = [(row.others_in_flight, row.others_prefill_s) for row in rows]
     self.assertEqual(anew, kept)
 
-  def test_router_gone_silent_counts_no_more(self):
-    # A killed router says nothing; what it had in flight ended with it. Kept,
-    # it would hold the others off the engines that it used.
-    self._take("r1:e", 1, 0.0)
+  def test_load_of_a_silent_router_expires(self):
+    # A killed router sends no report that its requests have ended. If its load
+    # were kept, the others would avoid the engines that it used.
+    self._report("r1:e", 1, 0.0)
     self.router.loads.recompute_totals(1.0)
     self.assertEqual(2, self.row.others_in_flight)
     self.router.loads.recompute_totals(2.0)
@@ -195,12 +195,12 @@
           max_size=9,
       )
   )
-  def test_report_is_read_as_it_was_sent(self, rows):
+  def test_report_is_decoded_as_encoded(self, rows):
     found = {k: loads.Load(n, ms / 1e3) for k, (n, ms) in rows.items()}
     sent = loads.Report("r1:e", 7, found, {k: ["5c1e07a2"] for k in rows})
     self.assertEqual(sent, loads.decode(loads.encode(sent)))
 
-  def test_nonsense_is_no_report(self):
+  def test_invalid_report_is_rejected(self):
     for raw in (b"", b"[]", b"[1,2,3]", b'["r",1,{"i":[1]},{}]', b"\xff\xfe"):
       with self.assertRaises((TypeError, ValueError, AttributeError)):
         loads.decode(raw)
@@ -209,8 +209,8 @@
 class SlownessTest(testtools.TestCase):
 
   def test_slow_engine_gets_less_until_it_recovers(self):
-    # One engine turns five times slower with its health good. After some
-    # answers others take its prefixes over; later it is tried again.
+    # An engine becomes five times slower while its health checks pass. After
+    # some answers, its prefixes go to other engines; later it is tried again.
     router = _Router(0)
     rows = list(router.table.rows.values())
     prompt = placement.Prompt("p", 13_300, 3_720)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,10 +1,9 @@
-"""Where requests go, on the loads of the users' sheets.
+"""The choice of endpoints under the loads that the users specified.
 
-Pattern: streams with long prompts that share a prefix (13,300 tokens of
-an appraisal, 116 to 201 of them) over nine engines that read 51 to 64
-prompt tokens a ms and keep some 28 such prefixes each. A prefix that is
-read by every engine costs nine times its reading; one engine that gets
-all of a sudden rush makes everyone wait.
+Streams with long prompts share prefixes (116 to 201 of them, 13,300 tokens each for
+an appraisal) over nine engines that prefill 51 to 64 tokens per ms and cache about
+28 such prefixes each. A prefix that every engine prefills costs nine times as
+much; a burst of requests that all go to one engine makes every one of them wait.
 """
 
 import collections
@@ -48,9 +47,9 @@
     self.assertEqual(9, len(load))
     self.assertTrue(max(load.values()) <= 2 * 201 / 9)
 
-  def test_rush_on_one_prefix_spills_to_the_next_engine(self):
-    # Everyone asks for the same appraisal at once. When what waits there
-    # takes longer than reading the prefix elsewhere, the next one helps.
+  def test_burst_on_one_prefix_spills_to_the_next_engine(self):
+    # All requests share one prefix. Once waiting at its engine takes longer than
+    # prefilling the prefix at the next one, that one must be chosen.
     rows = _rows(9)
     used = set()
     for _ in range(20):
@@ -60,7 +59,7 @@
       used.add(place.row.name)
     self.assertTrue(1 < len(used) <= 9, used)
 
-  def test_engine_that_fails_is_passed_over_and_comes_back(self):
+  def test_failing_engine_is_avoided_until_it_recovers(self):
     rows = _rows(9)
     first = placement.choose(rows, _prompt(1), "dc").row
     first.failures = 3
@@ -68,7 +67,7 @@
     first.failures = 0
     self.assertIs(first, placement.choose(rows, _prompt(1), "dc").row)
 
-  def test_reported_queue_counts_like_an_own_one(self):
+  def test_reported_queue_counts_like_own_requests(self):
     rows = _rows(2)
     first = placement.choose(rows, placement.NO_PROMPT, "dc").row
     first.waiting = 4.0
@@ -81,5 +80,5 @@
     place = placement.choose(rows, placement.NO_PROMPT, "dc")
     self.assertEqual("dc", place.row.datacentre)
 
-  def test_none_without_endpoints(self):
+  def test_no_placement_without_endpoints(self):
     self.assertIsNone(placement.choose([], placement.NO_PROMPT, "dc"))
--- a/tests/test_tracking.py
+++ b/tests/test_tracking.py
@@ -1,10 +1,10 @@
-"""Placement in a large fleet: who waits, and where work goes.
+"""Placement in a large fleet, where each endpoint is tracked by some routers.
 
-Pattern: 180 streams a second from 195 routers to 39 engines, prompts of 1,000
-to 50,000 tokens of which most share a prefix of 13,300 or 6,300. A router sends
-an engine one request in half a minute, so that it knows next to nothing of the
-engine's queue and speed by itself; labels of 1,000 tokens then wait behind
-appraisals of 50,000 while other engines are idle.
+195 routers send 180 streams a second to 39 engines, with prompts of 1,000 to 50,000
+tokens of which most share a prefix of 13,300 or 6,300. A router sends an engine one
+request per half minute, so that by itself it knows almost nothing of the engine's
+queue and speed. Labels of 1,000 tokens then wait behind appraisals of 50,000 while
+other engines are idle.
 """
 
 import json
@@ -51,19 +51,19 @@
       self.assertTrue(late <= before / 2, (kind.name, late, before))
 
   def test_largest_prompts_are_served_in_time_more_often(self):
-    """Guards against the largest appraisals paying for all others."""
+    """Guards against delaying the largest appraisals in favour of all others."""
     before = _mean(_play("sampled"), lambda r: r.largest)
-    earned = _mean(_play("tracked"), lambda r: r.largest)
-    self.assertTrue(earned >= before + 0.1, (earned, before))
+    in_time = _mean(_play("tracked"), lambda r: r.largest)
+    self.assertTrue(in_time >= before + 0.1, (in_time, before))
 
-  def test_shared_prompts_are_read_once(self):
-    """Guards against each engine reading each shared prompt."""
+  def test_shared_prefixes_are_prefilled_once(self):
+    """Guards against every engine prefilling every shared prefix."""
     again = _mean(_play("tracked"), lambda r: r.read_again)
     before = _mean(_play("sampled"), lambda r: r.read_again)
     self.assertTrue(again <= before / 2, (again, before))
 
   def test_slow_engines_get_little(self):
-    """Guards against a queue at each engine that turned slow."""
+    """Guards against queues at engines that have become slow."""
     before = _play("sampled", slow=7)
     results = _play("tracked", slow=7)
     for kind in engines.KINDS:
@@ -71,8 +71,8 @@
       known = _mean(before, lambda r, k=kind.name: r.late[k])
       self.assertTrue(late <= known / 2, (kind.name, late, known))
 
-  def test_rush_on_one_prefix_is_spread(self):
-    """Guards against one engine taking a rush on one prompt alone."""
+  def test_burst_on_one_prefix_is_spread(self):
+    """Guards against one engine serving a burst on one prefix alone."""
     hashed = _play("hashed", hot=0.3)
     results = _play("tracked", hot=0.3)
     late = _mean(results, lambda r: r.late["notice"])
@@ -80,7 +80,7 @@
     self.assertTrue(late <= alone / 3, (late, alone))
 
   def test_messages_do_not_grow_with_the_fleet(self):
-    """Guards against messages of a router that grow with the others."""
+    """Guards against a message rate per router that grows with the fleet."""
     for routers in (77, 195, 760):
       day = engines.Day(
           routers=routers,
@@ -97,7 +97,7 @@
 
 class ExperimentTest(testtools.TestCase):
 
-  def test_a_seed_is_played_and_reported(self):
+  def test_experiment_writes_a_report(self):
     with tempfile.TemporaryDirectory() as folder:
       outcome = testing.CliRunner().invoke(
           cli.main,
@@ -111,7 +111,7 @@
     self.assertEqual(3, len(rows))
     self.assertIn("calm: tracked", outcome.output)
 
-  def test_same_seed_same_day(self):
+  def test_same_seed_gives_the_same_result(self):
     day = engines.Day(seconds=5.0)
     twice = [engines.Player(day, "tracked", 3).play() for _ in range(2)]
     self.assertEqual(twice[0], twice[1])
@@ -119,7 +119,7 @@
 
 class TrackerTest(testtools.TestCase):
 
-  def test_prompts_on_their_way_are_counted_at_once(self):
+  def test_sent_prompts_count_at_once(self):
     tracker = tracking.Tracker()
     tracker.note_sent("i", "r1", "p", 0.5, 10.0)
     tracker.note_sent("i", "r2", "q", 0.2, 10.1)
@@ -128,15 +128,15 @@
     self.assertAlmostEqual(0.5, found.prefill_s)
     self.assertFalse(tracker.status_of("i", "z", 10.2).prefix_cached)
 
-  def test_what_nobody_ended_is_forgotten(self):
-    """Guards against an endpoint that looks busy since a router died."""
+  def test_requests_without_reported_end_expire(self):
+    """Guards against an endpoint that looks busy after a router has crashed."""
     tracker = tracking.Tracker()
     tracker.note_sent("i", "r1", "p", 0.5, 10.0)
     found = tracker.status_of("i", "p", 40.0)
     self.assertEqual((0, 0.0, False), found[:3])
 
-  def test_slow_endpoint_gets_its_share_back(self):
-    """Guards against an endpoint that is passed over for good."""
+  def test_slowness_decays(self):
+    """Guards against never choosing an endpoint again after it was slow."""
     tracker = tracking.Tracker()
     for number in range(5):
       tracker.note_first_token("i", 0.2, 0.7, 10.0 + number / 5)
@@ -145,23 +145,23 @@
     after = tracker.status_of("i", "", 19.0).slowness
     self.assertTrue(after <= 1.2, after)
 
-  def test_nonsense_of_one_router_does_not_close_an_endpoint(self):
-    """Guards against an endpoint that is passed over for one datagram."""
+  def test_invalid_prefill_times_are_bounded(self):
+    """Guards against one invalid datagram making an endpoint look busy for good."""
     tracker = tracking.Tracker()
     for prefill_s in (1e12, float("inf"), float("nan"), -1e12):
       tracker.note_sent("i", f"r{prefill_s}", "p", prefill_s, 10.0)
     found = tracker.status_of("i", "p", 10.0)
     self.assertTrue(0.0 <= found.prefill_s <= 40.0, found)
 
-  def test_failures_fade(self):
+  def test_failures_decay(self):
     tracker = tracking.Tracker()
     tracker.note_end("i", "r", True, 10.0)
     self.assertEqual(1.0, tracker.status_of("i", "", 10.0).failures)
     self.assertTrue(tracker.status_of("i", "", 13.0).failures < 0.1)
 
 
-class _Net:
-  """Carries datagrams between routers, at once or after a pause."""
+class _Network:
+  """Delivers datagrams between routers at once, except to dead ones."""
 
   def __init__(self) -> None:
     self.ports = {}
@@ -174,12 +174,12 @@
 
 
 class _Port:
-  """Stands for `datagrams.Datagrams`."""
+  """Replaces `datagrams.Datagrams`."""
 
   is_open = True
 
-  def __init__(self, net: _Net, host: str) -> None:
-    self._net, self._host = net, host
+  def __init__(self, network: _Network, host: str) -> None:
+    self._network, self._host = network, host
     self._takers = {}
     self.sent = 0
 
@@ -194,8 +194,8 @@
 
   def post_to(self, kind, content, host):
     self.sent += 1
-    if host not in self._net.dead:
-      self._net.ports[host]._takers[kind](content, self._host)
+    if host not in self._network.dead:
+      self._network.ports[host]._takers[kind](content, self._host)
 
 
 def _member(i: int) -> members_lib.Member:
@@ -207,7 +207,7 @@
 
   def setUp(self):
     super().setUp()
-    self.net = _Net()
+    self.network = _Network()
     self.clock = virtual.Clock()
     self.routers = []
     everyone = [_member(i) for i in range(40)]
@@ -217,10 +217,10 @@
       )
       view.take(everyone)
       self.routers.append(
-          trackers.Trackers(view, self.net.port(me), self.clock)
+          trackers.Trackers(view, self.network.port(me), self.clock)
       )
 
-  def test_what_one_sends_another_knows(self):
+  def test_requests_of_one_router_are_known_to_another(self):
     async def go():
       self.routers[0].note_sent("i-1", "p", 0.4)
       return await self.routers[7].survey(["i-1", "i-2"], "p")
@@ -232,14 +232,14 @@
     self.assertAlmostEqual(0.4, found["i-1"].prefill_s, 2)
     self.assertEqual(tracking.UNKNOWN, found["i-2"])
 
-  def test_deputy_answers_for_a_tracker_that_is_gone(self):
-    """Guards against placing blindly once a host has died."""
+  def test_second_tracker_answers_when_the_first_is_dead(self):
+    """Guards against placing without status after a host has crashed."""
 
     async def go():
       first = self.routers[0]._trackers("i-1")[0]
       asker = next(r for r in self.routers if r._members.me != first)
       asker.note_sent("i-1", "p", 0.4)
-      self.net.dead.add(datagrams._host_of(first))
+      self.network.dead.add(datagrams._host_of(first))
       began = anyio.current_time()
       missed = await asker.survey(["i-1"], "p")
       waited_s = anyio.current_time() - began
@@ -250,8 +250,8 @@
     self.assertTrue(waited_s <= 0.03, waited_s)
     self.assertEqual(1, found["i-1"].in_flight)
 
-  def test_nonsense_is_passed_over(self):
-    """Guards against a datagram that ends the loop that receives them."""
+  def test_invalid_datagrams_are_ignored(self):
+    """Guards against an invalid datagram that ends the receiving loop."""
     view = self.routers[0]._members
 
     async def go():
