--- a/mustardfall/catalogue/store.py
+++ b/mustardfall/catalogue/store.py
@@ -1,11 +1,12 @@
 """Reads, changes and follows the catalogue in the KV.
 
-Each entry has its own key, `catalogue/entry/<name>`, so that a change sends only
-the changed entries to each router and the catalogue may exceed the size limit of a
-value. `catalogue/head` is rewritten by every change, as a compare-and-swap on its
-revision: of two concurrent changes one succeeds and the other fails with an error,
-and nothing is overwritten silently. Followers move only to higher revisions, so an
-accepted change is never reverted on a router by a stale read or a late event.
+Each entry has its own key, `catalogue/entry/<name>`, so that a change sends
+only the changed entries to each router and the catalogue may exceed the size
+limit of a value. `catalogue/head` is rewritten by every change, as a
+compare-and-swap on its revision: of two concurrent changes one succeeds and the
+other fails with an error, and nothing is overwritten silently. Followers move
+only to higher revisions, so an accepted change is never reverted on a router by
+a stale read or a late event.
 """
 
 import datetime
@@ -46,7 +47,8 @@
   """The catalogue in the KV at one revision."""
 
   revision: int
-  """Of the catalogue's head; it increases with every change (0: no catalogue)."""
+  """Of the catalogue's head; it increases with every change (0: no
+  catalogue)."""
   read_at: int
   """The revision of the KV when the first page was read."""
   head: table_lib.Head
@@ -80,10 +82,10 @@
 async def _read_snapshot(kv: kv_client.Client) -> _Snapshot:
   """Reads the whole catalogue at one revision.
 
-  Pages are read one after the other. If the catalogue is changed in between, only
-  the later pages contain the change, and its events would be ignored as old. Each
-  change rewrites the head, which is read last, so a head that is newer than the
-  first page reveals this, and the catalogue is read again.
+  Pages are read one after the other. If the catalogue is changed in between,
+  only the later pages contain the change, and its events would be ignored as
+  old. Each change rewrites the head, which is read last, so a head that is
+  newer than the first page reveals this, and the catalogue is read again.
   """
   for _ in range(_READ_ATTEMPTS):
     read_at, revision, head, entries = 0, 0, table_lib.NO_HEAD, []
@@ -126,8 +128,9 @@
 
   For new entries, a budget of `tokens` is created; existing budgets are not
   changed (top-ups go through `budget.ledger.TopUp`). A change of more than a
-  hundred entries is written in batches, each checked in the same way. A concurrent
-  change between two batches raises an error when the first are already written.
+  hundred entries is written in batches, each checked in the same way. A
+  concurrent change between two batches raises an error when the first are
+  already written.
 
   Args:
     kv: the KV client.
@@ -282,7 +285,7 @@
     """When the current catalogue came into force, UTC."""
 
   async def follow(self) -> None:
-    """Reads the catalogue, then watches it; starts over when the watch fails."""
+    """Reads the catalogue and watches it; starts over if that fails."""
     while True:
       try:
         snapshot = await _read_snapshot(self._kv)
--- a/mustardfall/catalogue/table.py
+++ b/mustardfall/catalogue/table.py
@@ -1,10 +1,10 @@
 """The catalogue in force on a router, as a compact table.
 
 It is designed for 690,000 entries. A dict of entry objects would take nearly a
-gigabyte per router, so the entries read at the start are stored as columns, sorted
-by the digest of their API key. Later changes are kept in a dict, the overlay, which
-takes precedence. Routers are replaced within days, so the overlay stays small and
-is never merged into the columns.
+gigabyte per router, so the entries read at the start are stored as columns,
+sorted by the digest of their API key. Later changes are kept in a dict, the
+overlay, which takes precedence. Routers are replaced within days, so the
+overlay stays small and is never merged into the columns.
 """
 
 import array
@@ -104,10 +104,11 @@
     self.revision = 0
     self._base = _Columns([])
     self._changed_digests: dict[str, bytes | None] = {}
-    """Digest of the API key, by the name of each entry changed since `_base` was
-    read; None: the entry was removed."""
+    """Digest of the API key, by the name of each entry changed since `_base`
+    was read; None: the entry was removed."""
     self._overlay: dict[bytes, CallerEntry] = {}
-    """Entries changed since `_base` was read, by the digest of their API key."""
+    """Entries changed since `_base` was read, by the digest of their API
+    key."""
     self._weighs: dict[str, policy.Weighs] = {}
     self.placements: dict[str, frozenset[str]] = {}
     """The models that engines should have loaded, by the engine's name."""
@@ -127,7 +128,7 @@
     return True
 
   def set_head(self, revision: int, head: "Head") -> bool:
-    """Replaces weightings and placements; returns False if `revision` is older."""
+    """Replaces the head's contents; returns False if `revision` is older."""
     if revision < self.revision:
       return False
     self._weighs = {c.name: c.weighs for c in head.customers}
--- a/mustardfall/idempotency.py
+++ b/mustardfall/idempotency.py
@@ -2,14 +2,14 @@
 
 Before such a call (a booking, a label, a payment) is sent, the router writes a
 claim to `idem/<entry>/<key>`; only the attempt whose claim is in the record may
-send the call. The outcome is recorded afterwards. A retry, on any router and also
-after a router has crashed, finds the record and gets the stored outcome, or "may
-have run" while the outcome is unknown. The call is never sent twice while its
-record is kept.
-
-Each claim has an id of its own. If a claim named only the router, two attempts on
-the same router, one of them after a lost reply, could both take the record for
-their own and both send the call.
+send the call. The outcome is recorded afterwards. A retry, on any router and
+also after a router has crashed, finds the record and gets the stored outcome,
+or "may have run" while the outcome is unknown. The call is never sent twice
+while its record is kept.
+
+Each claim has an id of its own. If a claim named only the router, two attempts
+on the same router, one of them after a lost reply, could both take the record
+for their own and both send the call.
 """
 
 import enum
@@ -49,7 +49,8 @@
   status: int
   answer: Any
   fingerprint: NotRequired[str]
-  """Of the request that claimed the key; a different one must not get its answer."""
+  """Of the request that claimed the key; a different one must not get its
+  answer."""
 
 
 class Claim(NamedTuple):
@@ -146,10 +147,10 @@
 ) -> None:
   """Records a call's outcome, waiting briefly until the KV has stored it.
 
-  The wait lets a retry by the caller, on any router, find the outcome. If the KV
-  is slow, the caller is answered nevertheless and the record stays `started` for
-  longer: retries are told "may have run", which is true, and the call is still
-  not repeated.
+  The wait lets a retry by the caller, on any router, find the outcome. If the
+  KV is slow, the caller is answered nevertheless and the record stays `started`
+  for longer: retries are told "may have run", which is true, and the call is
+  still not repeated.
   """
   record_key = key(entry, idem_key)
   with anyio.move_on_after(_FINISH_WAIT_S):
--- a/mustardfall/routing/directory.py
+++ b/mustardfall/routing/directory.py
@@ -17,9 +17,9 @@
 logger = logging.getLogger(__name__)
 
 _REREGISTRATION_S = 1.8
-"""How long missing entries are kept after an outage. Entries that expired during
-it are registered again about 2 s after its end; removing them at once would
-remove live endpoints."""
+"""How long missing entries are kept after an outage. Entries that expired
+during it are registered again about 2 s after its end; removing them at once
+would remove live endpoints."""
 _OUTAGE_GAP_S = 1.5
 """A longer gap between two lists means that the store was unavailable."""
 
--- a/mustardfall/routing/endpoints.py
+++ b/mustardfall/routing/endpoints.py
@@ -14,7 +14,8 @@
 logger = logging.getLogger(__name__)
 
 _LIMIT_INCREASE = 1.0
-"""Requests added to a limit after as many timely answers as the limit allows."""
+"""Requests added to a limit after as many timely answers as the limit
+allows."""
 _LIMIT_DECREASE = 0.8
 """Factor applied to a limit after a late first token."""
 _MIN_LIMIT = 1.0
@@ -27,11 +28,12 @@
 """Weight of the newest answer in the moving average. An engine answers a router
 about once a second, so the average covers about six seconds."""
 _SLOWNESS_DECAY = 0.02
-"""Part of the deviation from 1 that is removed each tick: a slow endpoint gets no
-requests and so no measurements, and must be tried again within half a minute."""
+"""Part of the deviation from 1 that is removed each tick: a slow endpoint gets
+no requests and so no measurements, and must be tried again within half a
+minute."""
 _CACHE_LIFETIME_S = 15.0
-"""How long an unused prefix is assumed to stay in an engine's cache. At 20,000 new
-tokens a second, a cache of 384,000 tokens is overwritten in 19 s."""
+"""How long an unused prefix is assumed to stay in an engine's cache. At 20,000
+new tokens a second, a cache of 384,000 tokens is overwritten in 19 s."""
 _LOAD_DECAY = 0.5
 """Factor applied to a reported load each tick: engines complete most of their
 requests within a second."""
--- a/mustardfall/routing/loads.py
+++ b/mustardfall/routing/loads.py
@@ -1,8 +1,8 @@
 """The load that each router has on the endpoints, shared among all routers.
 
-An endpoint's queue holds the requests of many routers. A router that knew only its
-own would send long prompts where others have just sent theirs. So each router
-reports what it has in flight to the others and adds up what they report.
+An endpoint's queue holds the requests of many routers. A router that knew only
+its own would send long prompts where others have just sent theirs. So each
+router reports what it has in flight to the others and adds up what they report.
 """
 
 import collections
--- a/mustardfall/routing/orders.py
+++ b/mustardfall/routing/orders.py
@@ -1,16 +1,16 @@
 """Orders that make engines load and unload models.
 
-The catalogue's `placements` say which models each engine should have loaded. Each
-engine is owned by one router, as budgets are. The owner reconciles the engine
-with its placement: it reads which models are loaded (`GET /v1/models`) and orders
-the engine to load or unload the difference. Each order carries the catalogue's
-revision as its fencing token.
+The catalogue's `placements` say which models each engine should have loaded.
+Each engine is owned by one router, as budgets are. The owner reconciles the
+engine with its placement: it reads which models are loaded (`GET /v1/models`)
+and orders the engine to load or unload the difference. Each order carries the
+catalogue's revision as its fencing token.
 
 Engines that check the token refuse an order of an older catalogue, for example
-from a router that was paused while another one became the owner. For engines that
-ignore it, two measures limit the harm: the revision is read from the KV again
-right before each order, and the owner keeps reconciling, so that the effect of a
-stale order is undone within two rounds.
+from a router that was paused while another one became the owner. For engines
+that ignore it, two measures limit the harm: the revision is read from the KV
+again right before each order, and the owner keeps reconciling, so that the
+effect of a stale order is undone within two rounds.
 """
 
 import collections
--- a/mustardfall/routing/placement.py
+++ b/mustardfall/routing/placement.py
@@ -3,10 +3,10 @@
 The expected time is estimated from what the routers know: the requests at the
 endpoint, the prompt tokens that it would have to prefill (those of a shared
 prefix are in its cache if it was sent them recently), recent failures and the
-network distance. Requests that share a prompt prefix choose the same endpoint by
-rendezvous hashing, so that the prefix is prefilled by one engine and not by all.
-Once that engine is so busy that another can prefill the prefix sooner, the next
-one in rendezvous order is chosen.
+network distance. Requests that share a prompt prefix choose the same endpoint
+by rendezvous hashing, so that the prefix is prefilled by one engine and not by
+all. Once that engine is so busy that another can prefill the prefix sooner, the
+next one in rendezvous order is chosen.
 """
 
 from collections.abc import Mapping
@@ -18,34 +18,35 @@
 from mustardfall.routing import tracking
 
 _RUNNING_S = 0.01
-"""Time that each running request of a plain service is assumed to add to the next
-one: with half of its slots taken, a server that needs 60 ms per request answers
-about 30 ms later."""
+"""Time that each running request of a plain service is assumed to add to the
+next one: with half of its slots taken, a server that needs 60 ms per request
+answers about 30 ms later."""
 _DECODING_S = 0.002
 """Time that each running generation adds to another's first token. The duration
 of a batch step hardly depends on the batch's size; the rest balances load."""
 _WAITING_S = 0.12
-"""Time that each queued request adds, since its prompt is prefilled first: the mean
-of the uncached prompts, about 8,000 tokens at 64 tokens per ms."""
+"""Time that each queued request adds, since its prompt is prefilled first: the
+mean of the uncached prompts, about 8,000 tokens at 64 tokens per ms."""
 _PREFILL_S_PER_TOKEN = 1 / 55_000
 """Prefill time per token: the engines prefill 51 to 64 tokens per ms."""
 _ATTENTION_S_PER_PAIR = 0.5e-9
-"""Attention time per pair of a token and an earlier one, 0.32 to 0.65 ns; it makes
-the prefill of a prompt of 17,000 tokens up to a third longer."""
+"""Attention time per pair of a token and an earlier one, 0.32 to 0.65 ns; it
+makes the prefill of a prompt of 17,000 tokens up to a third longer."""
 _CACHE_MISS_WEIGHT = 1.5
 """Weight of prefilling a prefix where it is not cached: this also delays the
 requests queued behind it and evicts other prefixes from that cache."""
 _RANK_S = 0.02
-"""Cost per rank in a prefix's rendezvous order while no engine is known to have the
-prefix cached. Routers that don't yet know each other's choice then choose the same
-engine, unless another one is free some tens of ms sooner."""
+"""Cost per rank in a prefix's rendezvous order while no engine is known to have
+the prefix cached. Routers that don't yet know each other's choice then choose
+the same engine, unless another one is free some tens of ms sooner."""
 _MAX_RANK = 3
 """Ranks beyond this one cost no more than it."""
 _FAILURE_COST_S = 0.25
 """Cost per recent failure: about the time lost by a failed attempt."""
 _REMOTE_S = 0.004
-"""Cost of another data centre: about 1 ms more each way, and the traffic is charged.
-Small, so that it decides only between endpoints that are equally busy."""
+"""Cost of another data centre: about 1 ms more each way, and the traffic is
+charged. Small, so that it decides only between endpoints that are equally
+busy."""
 
 _CANDIDATES_PER_ROUND = 3
 """Candidates that are compared in each round."""
@@ -176,7 +177,7 @@
     prompt: Prompt,
     datacentre: str,
 ) -> Placement | None:
-  """Returns the candidate that should answer soonest, or None if there is none.
+  """Returns the candidate that should answer soonest, None if there is none.
 
   Args:
     candidates_: the candidates.
@@ -269,7 +270,7 @@
 def choose(
     rows: list[endpoints.Row], prompt: Prompt, datacentre: str
 ) -> Placement | None:
-  """Returns the endpoint that should answer soonest, or None if there is none."""
+  """Returns the endpoint that should answer soonest, None if there is none."""
   ordered = sorted(rows, key=lambda row: _rank_key(prompt.prefix, row.name))
   cached_anywhere = any(
       likely_cached(row, rank, prompt) for rank, row in enumerate(ordered)
@@ -289,5 +290,5 @@
 
 
 def _rank_key(prefix: str, name: str) -> bytes:
-  """Returns the key that orders endpoints for a prefix, equal on all routers."""
+  """Returns the key that orders endpoints for a prefix on all routers."""
   return hashlib.blake2b(f"{prefix} {name}".encode(), digest_size=8).digest()
--- a/mustardfall/routing/quarantine.py
+++ b/mustardfall/routing/quarantine.py
@@ -24,8 +24,9 @@
 _RETENTION_S = 120.0
 """How long a crash counts against a request, and a success clears it."""
 _SAME_CAUSE_S = 0.1
-"""Crashes this close together may have one external cause, such as a rack losing
-power. They count once against a request that ran on several of the endpoints."""
+"""Crashes this close together may have one external cause, such as a rack
+losing power. They count once against a request that ran on several of the
+endpoints."""
 _MAX_ROWS = 4_096
 """Suspected and quarantined requests kept."""
 _MAX_ROWS_PER_TEAM = 128
--- a/mustardfall/routing/scheduler.py
+++ b/mustardfall/routing/scheduler.py
@@ -1,9 +1,9 @@
 """Assigns free slots at endpoints to requests, and sheds excess requests.
 
 Urgent requests go first. While both classes wait, one in a few freed slots goes
-to a deferrable request, so that these are not starved. A request that is expected
-to wait longer than its class allows is refused at once, with a time to retry
-after, rather than queued until it is too late.
+to a deferrable request, so that these are not starved. A request that is
+expected to wait longer than its class allows is refused at once, with a time to
+retry after, rather than queued until it is too late.
 """
 
 import collections
@@ -25,9 +25,8 @@
 _DEFERRABLE_SHARE = 0.75
 """Part of an endpoint's limit that deferrable requests may use.
 
-Engines do not preempt: if long deferrable requests used all slots, an urgent one
-would have to wait for one of them to end.
-"""
+Engines do not preempt: if long deferrable requests used all slots, an urgent
+one would have to wait for one of them to end."""
 _MIN_RETRY_AFTER_S = 0.5
 
 
--- a/mustardfall/routing/tracking.py
+++ b/mustardfall/routing/tracking.py
@@ -1,9 +1,9 @@
 """The status of an endpoint, kept by the router that tracks it.
 
-In a large fleet, a router sends an endpoint one request per half minute, which is
-too few to know its queue or measure its speed. Each endpoint is therefore tracked
-by one router. The others report to it every request that they send there, its
-first token and its end, and query it before they choose an endpoint.
+In a large fleet, a router sends an endpoint one request per half minute, which
+is too few to know its queue or measure its speed. Each endpoint is therefore
+tracked by one router. The others report to it every request that they send
+there, its first token and its end, and query it before they choose an endpoint.
 """
 
 import dataclasses
@@ -12,19 +12,19 @@
 _CACHE_LIFETIME_S = 15.0
 """How long an unused prefix is assumed to stay in an endpoint's cache."""
 _MAX_PREFILL_S = 10.0
-"""Bound on the prefill reported for one request, longer than that of the longest
-prompt that fits into an engine's memory. Without it, one wrong report could keep
-the endpoint from being chosen ever again."""
+"""Bound on the prefill reported for one request, longer than that of the
+longest prompt that fits into an engine's memory. Without it, one wrong report
+could keep the endpoint from being chosen ever again."""
 _REQUEST_LIFETIME_S = 8.0
 """A request whose end was not reported is assumed to have ended after this."""
 _ENDPOINT_LIFETIME_S = 60.0
 """An endpoint that was not reported on for this long is removed."""
 _SLOWNESS_WEIGHT = 0.25
-"""Weight of the newest first token in the moving average. An engine sends about five
-a second to all routers, so that a slow one is noticed within a second."""
+"""Weight of the newest first token in the moving average. An engine sends about
+five a second to all routers, so that a slow one is noticed within a second."""
 _SLOWNESS_DECAY_S = 4.0
-"""Time in which a slowness's deviation from 1 decays to a quarter if no first token
-comes: a slow endpoint that is no longer chosen must be tried again."""
+"""Time in which a slowness's deviation from 1 decays to a quarter if no first
+token comes: a slow endpoint that is no longer chosen must be tried again."""
 _FAILURE_DECAY_S = 1.5
 """Time in which the number of failures decays to a quarter."""
 _MIN_EXPECTED_S = 0.05
--- a/tests/test_loads.py
+++ b/tests/test_loads.py
@@ -1,11 +1,11 @@
 """Routers that share their loads keep the times to first token within target.
 
-The load is that of the users' streams on a calm day: 19 appraisals and notices and
-22 label texts a second over nine engines and nine routers, with empty caches at
-the start. Each router sends a ninth of an engine's requests. Routers that know
-only their own load queue long prompts behind other routers' long prompts, and the
-slowest tenth of first tokens came late. The simulated engines prefill one prompt
-at a time, 64 tokens per ms, and keep all prefixes cached.
+The load is that of the users' streams on a calm day: 19 appraisals and notices
+and 22 label texts a second over nine engines and nine routers, with empty
+caches at the start. Each router sends a ninth of an engine's requests. Routers
+that know only their own load queue long prompts behind other routers' long
+prompts, and the slowest tenth of first tokens came late. The simulated engines
+prefill one prompt at a time, 64 tokens per ms, and keep all prefixes cached.
 """
 
 import heapq
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines: placements, fencing tokens, and engines that ignore these."""
+"""Orders to engines that check fencing tokens, and to engines that don't."""
 
 import time
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,9 +1,10 @@
 """The choice of endpoints under the loads that the users specified.
 
-Streams with long prompts share prefixes (116 to 201 of them, 13,300 tokens each for
-an appraisal) over nine engines that prefill 51 to 64 tokens per ms and cache about
-28 such prefixes each. A prefix that every engine prefills costs nine times as
-much; a burst of requests that all go to one engine makes every one of them wait.
+Streams with long prompts share prefixes (116 to 201 of them, 13,300 tokens each
+for an appraisal) over nine engines that prefill 51 to 64 tokens per ms and
+cache about 28 such prefixes each. A prefix that every engine prefills costs
+nine times as much; a burst of requests that all go to one engine makes every
+one of them wait.
 """
 
 import collections
@@ -48,8 +49,8 @@
     self.assertTrue(max(load.values()) <= 2 * 201 / 9)
 
   def test_burst_on_one_prefix_spills_to_the_next_engine(self):
-    # All requests share one prefix. Once waiting at its engine takes longer than
-    # prefilling the prefix at the next one, that one must be chosen.
+    # All requests share one prefix. Once waiting at its engine takes longer
+    # than prefilling the prefix at the next one, that one must be chosen.
     rows = _rows(9)
     used = set()
     for _ in range(20):
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -50,14 +50,14 @@
       self.assertFalse(self._crash("x", "one"))
 
   def test_rack_failure_quarantines_no_request(self):
-    """Guards against quarantining a frequent request when a rack loses power."""
+    """Guards against quarantining frequent requests when a rack fails."""
     for endpoint in range(20):
       self._advance(0.003)
       self.assertFalse(self._crash("popular", f"e{endpoint}"))
     self.assertEqual(0, self.table.remaining_s("popular"))
 
   def test_crashes_of_immediate_retries_count_each(self):
-    """Guards against one request whose quick retries crash endpoint after endpoint."""
+    """Guards against quick retries that crash one endpoint after the other."""
     found = []
     for endpoint in range(3):
       self._advance(0.02)
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -35,9 +35,9 @@
     self.assertEqual(idempotency.State.STARTED, second["state"])
 
   def test_claim_with_lost_reply_is_still_ours_once(self):
-    # The KV stores the claim and the reply is lost. The router reads the record,
-    # finds its own claim and runs the call. No other router and no second
-    # attempt on the same router may run it.
+    # The KV stores the claim and the reply is lost. The router reads the
+    # record, finds its own claim and runs the call. No other router and no
+    # second attempt on the same router may run it.
     async def go():
       kv, server = kvfake.make()
       server.faults.lose_replies = 1
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -13,7 +13,8 @@
 from mustardfall.util import clock as clock_lib
 
 _SLACK = 430.0
-"""Retries that a service takes at once, in addition to a share of its requests."""
+"""Retries that a service takes at once, in addition to a share of its
+requests."""
 _SAFETY = 0.75
 _RATIO = 0.2
 
@@ -73,7 +74,7 @@
     self.assertFalse(budget.withdraw())
 
   def test_expired_leases_do_not_raise_the_burst(self):
-    """Guards against counting out routers that the store refuses but that serve."""
+    """Guards against not counting routers that serve without a lease."""
     clock = clock_lib.FakeClock()
     up = [77]
     fleet = retries.FleetSize(clock, lambda: up[0])
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler: urgent first, deferrable not starved, excess load shed at once."""
+"""The scheduler: urgent first, deferrable not starved, excess load shed."""
 
 import time
 
@@ -33,7 +33,7 @@
 class SchedulerTest(testtools.TestCase):
 
   def _finish_order(self, sched, slot_requests):
-    """Queues `slot_requests` behind a full endpoint; returns the order in which they got slots."""
+    """Queues requests at a full endpoint; returns classes in order of slots."""
     order = []
 
     async def _acquire(slot_request):
--- a/tests/test_tracking.py
+++ b/tests/test_tracking.py
@@ -1,10 +1,10 @@
 """Placement in a large fleet, where each endpoint is tracked by some routers.
 
-195 routers send 180 streams a second to 39 engines, with prompts of 1,000 to 50,000
-tokens of which most share a prefix of 13,300 or 6,300. A router sends an engine one
-request per half minute, so that by itself it knows almost nothing of the engine's
-queue and speed. Labels of 1,000 tokens then wait behind appraisals of 50,000 while
-other engines are idle.
+195 routers send 180 streams a second to 39 engines, with prompts of 1,000 to
+50,000 tokens of which most share a prefix of 13,300 or 6,300. A router sends an
+engine one request per half minute, so that by itself it knows almost nothing of
+the engine's queue and speed. Labels of 1,000 tokens then wait behind appraisals
+of 50,000 while other engines are idle.
 """
 
 import json
@@ -51,7 +51,7 @@
       self.assertTrue(late <= before / 2, (kind.name, late, before))
 
   def test_largest_prompts_are_served_in_time_more_often(self):
-    """Guards against delaying the largest appraisals in favour of all others."""
+    """Guards against delaying the largest appraisals for all others."""
     before = _mean(_play("sampled"), lambda r: r.largest)
     in_time = _mean(_play("tracked"), lambda r: r.largest)
     self.assertTrue(in_time >= before + 0.1, (in_time, before))
@@ -146,7 +146,7 @@
     self.assertTrue(after <= 1.2, after)
 
   def test_invalid_prefill_times_are_bounded(self):
-    """Guards against one invalid datagram making an endpoint look busy for good."""
+    """Guards against a datagram that makes an endpoint look busy for good."""
     tracker = tracking.Tracker()
     for prefill_s in (1e12, float("inf"), float("nan"), -1e12):
       tracker.note_sent("i", f"r{prefill_s}", "p", prefill_s, 10.0)
