--- a/mustardfall/membership/verdicts.py
+++ b/mustardfall/membership/verdicts.py
@@ -113,7 +113,7 @@
     return [member for member in found if member.life != me]
 
   def _judge(self, suspect: quarantine.Suspect) -> None:
-    if self._table.note_end(suspect):
+    if self._table.note_crash(suspect):
       self._publish(
           quarantine.Verdict(
               suspect.fingerprint, suspect.team, quarantine.QUARANTINE_S
--- a/mustardfall/routing/quarantine.py
+++ b/mustardfall/routing/quarantine.py
@@ -101,7 +101,7 @@
       return 0.0
     return max(0.0, row.until - self._clock.monotonic())
 
-  def note_end(self, suspect: Suspect) -> bool:
+  def note_crash(self, suspect: Suspect) -> bool:
     """Records that an endpoint crashed while it ran a request.
 
     Returns:
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -22,7 +22,7 @@
 
   def _crash(self, request, endpoint, team="acme", ran_s=_RAN_S):
     suspect = quarantine.Suspect(request, team, endpoint, ran_s)
-    return self.table.note_end(suspect)
+    return self.table.note_crash(suspect)
 
   def _crash_apart(self, request, number, team="acme"):
     """Has endpoints that run one request crash one after the other."""
