--- a/mustardfall/gateway.py
+++ b/mustardfall/gateway.py
@@ -176,7 +176,7 @@
   def take_configuration(self, new: configuration.Configuration) -> None:
     """Puts a newer configuration in force, and reduced budgets with it."""
     old = self.directory.configuration
-    if not self.directory.take_configuration(new) or old is None:
+    if not self.directory.apply_configuration(new) or old is None:
       return
     for name, team in new.teams.items():
       before = old.teams.get(name)
@@ -204,7 +204,7 @@
     one that must not run twice is lost.
     """
     before = self._lives_by_address()
-    self.directory.take_endpoints(hosts)
+    self.directory.apply_endpoints(hosts)
     after = self._lives_by_address()
     for address, life in before.items():
       if after.get(address) != life:
--- a/mustardfall/routing/directory.py
+++ b/mustardfall/routing/directory.py
@@ -56,7 +56,7 @@
       return configuration.DEFAULT_LIMITS
     return self.configuration.limits
 
-  def take_configuration(self, new: configuration.Configuration) -> bool:
+  def apply_configuration(self, new: configuration.Configuration) -> bool:
     """Puts a configuration in force; returns False if it is not newer."""
     old = self.configuration
     if old is not None and new.version <= old.version:
@@ -86,7 +86,7 @@
     """Seconds since the configuration was last known to be the newest."""
     return self._clock.monotonic() - self._confirmed_at
 
-  def take_endpoints(self, hosts: list[endpoints.Host]) -> bool:
+  def apply_endpoints(self, hosts: list[endpoints.Host]) -> bool:
     """Applies a complete list of endpoints; returns whether any changed."""
     now = self._clock.monotonic()
     if now - self._listed_at > _OUTAGE_GAP_S:
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -41,13 +41,13 @@
 
   def _read(self, *names, every_s=1.0, times=1):
     for _ in range(times):
-      self.known.take_endpoints(_hosts(*names))
+      self.known.apply_endpoints(_hosts(*names))
       self._advance(every_s)
 
   def test_versions_never_go_back(self):
-    self.assertTrue(self.known.take_configuration(_configuration(5)))
-    self.assertFalse(self.known.take_configuration(_configuration(4)))
-    self.assertFalse(self.known.take_configuration(_configuration(5)))
+    self.assertTrue(self.known.apply_configuration(_configuration(5)))
+    self.assertFalse(self.known.apply_configuration(_configuration(4)))
+    self.assertFalse(self.known.apply_configuration(_configuration(5)))
     self.assertEqual(5, self.known.configuration.version)
 
   def test_removed_endpoint_is_dropped(self):
@@ -57,7 +57,7 @@
 
   def test_leaving_endpoint_is_not_eligible(self):
     self._read("a", times=4)
-    self.known.take_endpoints(_hosts("a", state="leaving"))
+    self.known.apply_endpoints(_hosts("a", state="leaving"))
     self.assertEqual([], self.known.endpoints.eligible("pool", ""))
 
   def test_entries_missing_right_after_an_outage_are_kept_for_a_while(self):
--- a/tests/test_server_entries.py
+++ b/tests/test_server_entries.py
@@ -126,7 +126,7 @@
     self.accounts = _Accounts()
 
   async def take_endpoints(self, hosts):
-    self.directory.take_endpoints(hosts)
+    self.directory.apply_endpoints(hosts)
 
 
 class _World:
