--- a/mustardfall/catalogue/store.py
+++ b/mustardfall/catalogue/store.py
@@ -31,8 +31,8 @@
 logger = logging.getLogger(__name__)
 
 PREFIX = "catalogue/"
-HEAD = PREFIX + "head"
-ENTRY = PREFIX + "entry/"
+HEAD_KEY = PREFIX + "head"
+ENTRY_PREFIX = PREFIX + "entry/"
 _RETRY_S = 0.5
 """Pause before a failed watch is opened again."""
 _OPS_PER_TXN = 100
@@ -92,7 +92,7 @@
     async for page_revision, records in kv.get_pages(PREFIX, _PAGE_SIZE):
       read_at = read_at or page_revision
       for record in records:
-        if record.key == HEAD:
+        if record.key == HEAD_KEY:
           revision, head = record.mod_revision, _decode_head(record)
         else:
           entries.append(_decode_entry(record))
@@ -117,7 +117,7 @@
 
 async def read_revision(kv: kv_client.Client) -> int:
   """Returns the revision of the catalogue in the KV, 0 if absent."""
-  record = await kv.get(HEAD)
+  record = await kv.get(HEAD_KEY)
   return record.mod_revision if record else 0
 
 
@@ -167,13 +167,15 @@
   """Returns the operations that change the entries in the KV into `spec`'s."""
   existing = {e.name: e for e in snapshot.entries}
   ops = [
-      protocol.Put(ENTRY + e.name, _encode(e))
+      protocol.Put(ENTRY_PREFIX + e.name, _encode(e))
       for e in spec.entries
       if existing.get(e.name) != e
   ]
   if not only:
     wanted = {e.name for e in spec.entries}
-    ops += [protocol.Delete(ENTRY + n) for n in existing if n not in wanted]
+    ops += [
+        protocol.Delete(ENTRY_PREFIX + n) for n in existing if n not in wanted
+    ]
   _check_api_keys(existing, spec, only)
   return ops
 
@@ -224,13 +226,13 @@
   ).encode()
   try:
     result = await kv.txn(
-        [protocol.Compare(HEAD, "MOD", revision)],
-        [*ops, protocol.Put(HEAD, value)],
+        [protocol.Compare(HEAD_KEY, "MOD", revision)],
+        [*ops, protocol.Put(HEAD_KEY, value)],
     )
   except errors.KvUnknownError:
     # The reply was lost and the transaction may have been committed. It was if
     # the head has the value written here, since `edit` is unique to each write.
-    record = await kv.get(HEAD)
+    record = await kv.get(HEAD_KEY)
     if record is None or record.value != value:
       raise
     return record.mod_revision
@@ -309,14 +311,14 @@
   def apply_event(self, event: protocol.Event) -> None:
     """Applies one change, unless it is older than the catalogue in force."""
     record = event.record
-    if record.key == HEAD:
+    if record.key == HEAD_KEY:
       # Each change writes the head last, so it has been received completely.
       if not event.deleted and self.current.set_head(
           record.mod_revision, _decode_head(record)
       ):
         self._note_change()
     elif event.deleted:
-      name = record.key.removeprefix(ENTRY)
+      name = record.key.removeprefix(ENTRY_PREFIX)
       self.current.remove(record.mod_revision, name)
     else:
       self.current.put(record.mod_revision, _decode_entry(record))
--- a/mustardfall/routing/endpoints.py
+++ b/mustardfall/routing/endpoints.py
@@ -83,8 +83,8 @@
   prefixes: dict[str, float] = dataclasses.field(default_factory=dict)
   """Prompt prefixes recently sent to it, and when, monotonic seconds."""
   cold_cache: bool = False
-  """Whether it was first listed after this router's first list. Its cache then
-  holds only prefixes that were sent since."""
+  """Whether it was listed or restarted after this router's first list. Its cache
+  then holds only prefixes that were sent since."""
   slowness: float = 1.0
   """Moving average of the time to first token, relative to the expected one."""
   failures: int = 0
@@ -122,7 +122,7 @@
   def __init__(self, config: settings.Scheduler, cold: bool = False) -> None:
     self._config = config
     self.rows: dict[str, Row] = {}
-    self._cold_when_listed = cold
+    self._new_rows_are_cold = cold
 
   def update(self, hosts: list[Host]) -> bool:
     """Applies a complete host list; returns whether any row changed."""
@@ -138,7 +138,7 @@
     for name in self.rows.keys() - {host["name"] for host in hosts}:
       _log("endpoint gone", self.rows.pop(name))
       changed = True
-    self._cold_when_listed = self._cold_when_listed or bool(hosts)
+    self._new_rows_are_cold = self._new_rows_are_cold or bool(hosts)
     return changed
 
   def _new_row(self, host: Host) -> Row:
@@ -150,7 +150,7 @@
         models=list(host.get("models", [])),
         state=host.get("state", "live"),
         limit=self._config.initial_limit,
-        cold_cache=self._cold_when_listed,
+        cold_cache=self._new_rows_are_cold,
         started_ms=host.get("started_ms"),
     )
 
--- a/mustardfall/routing/orders.py
+++ b/mustardfall/routing/orders.py
@@ -36,7 +36,7 @@
   """Reconciles the engines that this router owns with their placements.
 
   Args:
-    config: the router's settings, whole.
+    config: the router's complete settings.
     http: an HTTP client.
     kv: the KV client.
     members: tells which router owns an engine.
--- a/mustardfall/routing/placement.py
+++ b/mustardfall/routing/placement.py
@@ -17,14 +17,14 @@
 from mustardfall.routing import endpoints
 from mustardfall.routing import tracking
 
-_RUNNING_S = 0.01
+_WAIT_S_PER_RUNNING = 0.01
 """Time that each running request of a plain service is assumed to add to the
 next one: with half of its slots taken, a server that needs 60 ms per request
 answers about 30 ms later."""
-_DECODING_S = 0.002
+_WAIT_S_PER_DECODING = 0.002
 """Time that each running generation adds to another's first token. The duration
 of a batch step hardly depends on the batch's size; the rest balances load."""
-_WAITING_S = 0.12
+_WAIT_S_PER_QUEUED = 0.12
 """Time that each queued request adds, since its prompt is prefilled first: the
 mean of the uncached prompts, about 8,000 tokens at 64 tokens per ms."""
 _PREFILL_S_PER_TOKEN = 1 / 55_000
@@ -35,15 +35,15 @@
 _CACHE_MISS_WEIGHT = 1.5
 """Weight of prefilling a prefix where it is not cached: this also delays the
 requests queued behind it and evicts other prefixes from that cache."""
-_RANK_S = 0.02
+_COST_S_PER_RANK = 0.02
 """Cost per rank in a prefix's rendezvous order while no engine is known to have
 the prefix cached. Routers that don't yet know each other's choice then choose
 the same engine, unless another one is free some tens of ms sooner."""
 _MAX_RANK = 3
 """Ranks beyond this one cost no more than it."""
-_FAILURE_COST_S = 0.25
+_COST_S_PER_FAILURE = 0.25
 """Cost per recent failure: about the time lost by a failed attempt."""
-_REMOTE_S = 0.004
+_REMOTE_COST_S = 0.004
 """Cost of another data centre: about 1 ms more each way, and the traffic is
 charged. Small, so that it decides only between endpoints that are equally
 busy."""
@@ -84,10 +84,10 @@
   # The sums of others' loads are negative, until the next tick, where a row was
   # replaced after a report was added and the report is then subtracted.
   in_flight = row.in_flight + max(0, row.others_in_flight)
-  per_request_s = _DECODING_S if prompt.prefix else _RUNNING_S
+  per_request_s = _WAIT_S_PER_DECODING if prompt.prefix else _WAIT_S_PER_RUNNING
   pending_prefill_s = row.prefill_s + max(0.0, row.others_prefill_s)
-  queue = max(pending_prefill_s, row.waiting * _WAITING_S)
-  return max(in_flight, row.running) * per_request_s + queue
+  queue_s = max(pending_prefill_s, row.waiting * _WAIT_S_PER_QUEUED)
+  return max(in_flight, row.running) * per_request_s + queue_s
 
 
 def likely_cached(row: endpoints.Row, rank: int, prompt: Prompt) -> bool:
@@ -115,11 +115,11 @@
     prompt: the request's prompt.
     datacentre: the router's own.
   """
-  cost = 0.0 if row.datacentre == datacentre else _REMOTE_S
-  failure_s = row.failures * _FAILURE_COST_S
+  cost = 0.0 if row.datacentre == datacentre else _REMOTE_COST_S
+  failure_s = row.failures * _COST_S_PER_FAILURE
   own_prefill_s = prefill_s(likely_cached(row, rank, prompt), prompt)
   if not cached_anywhere:
-    cost += min(rank, _MAX_RANK) * _RANK_S
+    cost += min(rank, _MAX_RANK) * _COST_S_PER_RANK
   elif not likely_cached(row, rank, prompt):
     own_prefill_s *= _CACHE_MISS_WEIGHT
   return row.slowness * (wait_s(row, prompt) + own_prefill_s) + cost + failure_s
@@ -172,7 +172,7 @@
 
 
 def choose_tracked(
-    candidates_: list[Candidate],
+    compared: list[Candidate],
     statuses: Mapping[str, tracking.EndpointStatus],
     prompt: Prompt,
     datacentre: str,
@@ -180,14 +180,14 @@
   """Returns the candidate that should answer soonest, None if there is none.
 
   Args:
-    candidates_: the candidates.
+    compared: the candidates to compare.
     statuses: status by the endpoint's `life`; for a candidate without one, this
       router's own knowledge is used.
     prompt: the request's prompt.
     datacentre: the router's own.
   """
   cached_anywhere = any(
-      _is_cached(candidate, statuses, prompt) for candidate in candidates_
+      _is_cached(candidate, statuses, prompt) for candidate in compared
   )
   costs = [
       (
@@ -196,11 +196,11 @@
           ),
           number,
       )
-      for number, candidate in enumerate(candidates_)
+      for number, candidate in enumerate(compared)
   ]
   if not costs:
     return None
-  best = candidates_[min(costs)[1]]
+  best = compared[min(costs)[1]]
   own_prefill_s = prefill_s(_is_cached(best, statuses, prompt), prompt)
   return Placement(
       best.row,
@@ -229,7 +229,7 @@
   status = statuses.get(candidate.row.life)
   if status is None:
     return wait_s(candidate.row, prompt)
-  per_request_s = _DECODING_S if prompt.prefix else _RUNNING_S
+  per_request_s = _WAIT_S_PER_DECODING if prompt.prefix else _WAIT_S_PER_RUNNING
   return status.in_flight * per_request_s + status.prefill_s
 
 
@@ -248,9 +248,9 @@
     )
   cached_here = _is_cached(candidate, statuses, prompt)
   own_prefill_s = prefill_s(cached_here, prompt)
-  cost = 0.0 if candidate.row.datacentre == datacentre else _REMOTE_S
+  cost = 0.0 if candidate.row.datacentre == datacentre else _REMOTE_COST_S
   if not cached_anywhere:
-    cost += min(candidate.rank, _MAX_RANK) * _RANK_S
+    cost += min(candidate.rank, _MAX_RANK) * _COST_S_PER_RANK
   elif not cached_here:
     own_prefill_s *= _CACHE_MISS_WEIGHT
   wait = tracked_wait_s(candidate, statuses, prompt)
@@ -258,13 +258,15 @@
       cost
       + wait
       + status.slowness * own_prefill_s
-      + status.failures * _FAILURE_COST_S
+      + status.failures * _COST_S_PER_FAILURE
   )
 
 
-def is_busy(place: Placement, prompt: Prompt) -> bool:
+def is_busy(chosen: Placement, prompt: Prompt) -> bool:
   """Whether the wait there makes comparing more candidates worthwhile."""
-  return place.answer_s - place.prefill_s > _BUSY_WAIT_S and bool(prompt.prefix)
+  return chosen.answer_s - chosen.prefill_s > _BUSY_WAIT_S and bool(
+      prompt.prefix
+  )
 
 
 def choose(
--- a/mustardfall/routing/quarantine.py
+++ b/mustardfall/routing/quarantine.py
@@ -48,12 +48,12 @@
 
 
 class Verdict(NamedTuple):
-  """A report that a request is quarantined."""
+  """A router's verdict on a request: whether it is quarantined."""
 
   fingerprint: str
   team: str
   left_s: float
-  """Seconds until it may be sent again; 0 or less: it is not quarantined."""
+  """Seconds of quarantine left; 0 or less: the request has succeeded."""
 
 
 def fingerprint(team: str, method: bytes, target: bytes, body: bytes) -> str:
@@ -76,7 +76,7 @@
   """Crashes counted; those with a likely common cause count once."""
   last_crash_at: float = -float("inf")
   """When the last counted crash was reported."""
-  until: float = -float("inf")
+  quarantined_until: float = -float("inf")
   """When its quarantine ends."""
 
 
@@ -99,7 +99,7 @@
     row = self._rows.get(fingerprint_)
     if row is None:
       return 0.0
-    return max(0.0, row.until - self._clock.monotonic())
+    return max(0.0, row.quarantined_until - self._clock.monotonic())
 
   def note_crash(self, suspect: Suspect) -> bool:
     """Records that an endpoint crashed while it ran a request.
@@ -111,14 +111,16 @@
       return False
     now = self._clock.monotonic()
     row = self._row(suspect.fingerprint, suspect.team)
-    was_quarantined = row.until > -float("inf")
+    was_quarantined = row.quarantined_until > -float("inf")
     since_last_s = now - row.last_crash_at
     if since_last_s > _RETENTION_S and not was_quarantined:
       row.endpoints.clear()
       row.crashes = 0
-    if suspect.endpoint in row.endpoints or row.until > now:
+    if suspect.endpoint in row.endpoints or row.quarantined_until > now:
       return False
     row.endpoints.add(suspect.endpoint)
+    # A request that ran for less time than has passed since the last crash was
+    # sent after that crash, so this one has a cause of its own.
     if since_last_s > min(_SAME_CAUSE_S, suspect.ran_s):
       row.crashes += 1
       row.last_crash_at = now
@@ -167,9 +169,9 @@
     """Returns the quarantined requests, the most recent first."""
     now = self._clock.monotonic()
     return [
-        Verdict(key, row.team, round(row.until - now, 1))
+        Verdict(key, row.team, round(row.quarantined_until - now, 1))
         for key, row in reversed(self._rows.items())
-        if row.until > now
+        if row.quarantined_until > now
     ]
 
   def _row(self, fingerprint_: str, team: str) -> _Row:
@@ -197,7 +199,7 @@
     return True
 
   def _quarantine(self, fingerprint_: str, row: _Row, term_s: float) -> None:
-    row.until = self._clock.monotonic() + term_s
+    row.quarantined_until = self._clock.monotonic() + term_s
     logger.warning(
         "request quarantined",
         extra={
--- a/mustardfall/routing/retries.py
+++ b/mustardfall/routing/retries.py
@@ -25,7 +25,8 @@
 def burst_per_router(burst: float, planned: int, routers: int) -> float:
   """Returns one router's share of the fleet's retry burst.
 
-  The burst of the whole fleet does not grow beyond `burst * planned`.
+  The burst of the whole fleet does not grow beyond `burst * planned`, unless
+  each router has only the least burst.
 
   Args:
     burst: the retries per router in a fleet of `planned` routers.
--- a/mustardfall/routing/scheduler.py
+++ b/mustardfall/routing/scheduler.py
@@ -78,7 +78,7 @@
   """Assigns slots at endpoints.
 
   Args:
-    config: the router's settings, full_share.
+    config: the router's complete settings.
     table: the endpoints.
     clock: the time source.
   """
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -182,7 +182,7 @@
 
   def _event(self, revision, entry, deleted=False):
     value = b"" if deleted else store._encode(entry)
-    key = store.ENTRY + entry.name
+    key = store.ENTRY_PREFIX + entry.name
     record = protocol.Record(key, value, revision, 1)
     return protocol.Event(deleted, record)
 
