--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -34,31 +34,31 @@
   def setUp(self):
     super().setUp()
     self.clock = clock_lib.FakeClock()
-    self.known = directory.Directory(settings.Scheduler(), self.clock)
+    self.directory = directory.Directory(settings.Scheduler(), self.clock)
 
   def _advance(self, seconds):
     self.clock.advance(datetime.timedelta(seconds=seconds))
 
   def _read(self, *names, every_s=1.0, times=1):
     for _ in range(times):
-      self.known.apply_endpoints(_hosts(*names))
+      self.directory.apply_endpoints(_hosts(*names))
       self._advance(every_s)
 
   def test_versions_never_go_back(self):
-    self.assertTrue(self.known.apply_configuration(_configuration(5)))
-    self.assertFalse(self.known.apply_configuration(_configuration(4)))
-    self.assertFalse(self.known.apply_configuration(_configuration(5)))
-    self.assertEqual(5, self.known.configuration.version)
+    self.assertTrue(self.directory.apply_configuration(_configuration(5)))
+    self.assertFalse(self.directory.apply_configuration(_configuration(4)))
+    self.assertFalse(self.directory.apply_configuration(_configuration(5)))
+    self.assertEqual(5, self.directory.configuration.version)
 
   def test_removed_endpoint_is_dropped(self):
     self._read("a", "b", times=4)
     self._read("a")
-    self.assertEqual({"a"}, set(self.known.endpoints.rows))
+    self.assertEqual({"a"}, set(self.directory.endpoints.rows))
 
   def test_leaving_endpoint_is_not_eligible(self):
     self._read("a", times=4)
-    self.known.apply_endpoints(_hosts("a", state="leaving"))
-    self.assertEqual([], self.known.endpoints.eligible("pool", ""))
+    self.directory.apply_endpoints(_hosts("a", state="leaving"))
+    self.assertEqual([], self.directory.endpoints.eligible("pool", ""))
 
   def test_entries_missing_right_after_an_outage_are_kept_for_a_while(self):
     # Entries expired during a store outage of eight seconds. Live servers
@@ -68,9 +68,9 @@
     self._read("a", "b", times=4)
     self._advance(8)
     self._read("a", every_s=1.0)
-    self.assertEqual({"a", "b"}, set(self.known.endpoints.rows))
+    self.assertEqual({"a", "b"}, set(self.directory.endpoints.rows))
     self._read("a", every_s=1.0, times=2)
-    self.assertEqual({"a"}, set(self.known.endpoints.rows))
+    self.assertEqual({"a"}, set(self.directory.endpoints.rows))
 
 
 class MatchTest(testtools.TestCase):
@@ -84,7 +84,7 @@
 
   def test_longest_prefix_wins(self):
     routes = [self._route(p) for p in ("/", "/a/", "/a/b/c/")]
-    known = _configuration(1, routes)
+    configuration_ = _configuration(1, routes)
     for path, prefix in (
         ("/a/b/c/d", "/a/b/c/"),
         ("/a/b/c", "/a/"),
@@ -92,5 +92,5 @@
         ("/a", "/"),
         ("/", "/"),
     ):
-      self.assertEqual(prefix, known.match("h", path).name, path)
-    self.assertIsNone(known.match("other", "/a/"))
+      self.assertEqual(prefix, configuration_.match("h", path).name, path)
+    self.assertIsNone(configuration_.match("other", "/a/"))
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -21,7 +21,9 @@
 
 class RetryTest(testtools.TestCase):
 
-  def _made(self, routers: int, requests_each: int, lives: int = 1) -> int:
+  def _count_retries(
+      self, routers: int, requests_each: int, lives: int = 1
+  ) -> int:
     """Returns the retries of a fleet all of whose requests fail.
 
     Args:
@@ -50,14 +52,14 @@
   def test_retries_of_a_fleet_do_not_grow_with_its_routers(self):
     """Guards against a retry storm when the servers of all routers fail."""
     for routers, each in ((9, 68), (77, 34), (195, 12), (300, 8)):
-      made = self._made(routers, each)
+      made = self._count_retries(routers, each)
       allowed = _RATIO * routers * each + _SLACK
       self.assertTrue(made <= allowed, (routers, made, allowed))
 
   def test_restarted_routers_add_no_retries(self):
     """Guards against a retry storm when routers are killed repeatedly."""
     for routers, each in ((9, 68), (77, 40), (195, 12)):
-      made = self._made(routers, each, lives=4)
+      made = self._count_retries(routers, each, lives=4)
       allowed = _RATIO * routers * each + _SLACK
       self.assertTrue(made <= allowed, (routers, made, allowed))
 
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -32,7 +32,7 @@
 
 class SchedulerTest(testtools.TestCase):
 
-  def _finish_order(self, sched, slot_requests):
+  def _slot_order(self, sched, slot_requests):
     """Queues requests at a full endpoint; returns classes in order of slots."""
     order = []
 
@@ -57,19 +57,19 @@
 
   def test_urgent_overtakes_earlier_deferrable(self):
     sched, _ = _make()
-    order = self._finish_order(sched, [_DEFERRABLE] * 3 + [_URGENT] * 3)
+    order = self._slot_order(sched, [_DEFERRABLE] * 3 + [_URGENT] * 3)
     self.assertEqual([model.Klass.URGENT] * 3, order[:3])
     self.assertEqual(6, len(order))
 
   def test_deferrable_gets_one_slot_in_four_under_urgent_load(self):
     # Under a steady load of urgent requests, deferrable ones must not starve.
     sched, _ = _make()
-    order = self._finish_order(sched, [_URGENT] * 12 + [_DEFERRABLE] * 2)
+    order = self._slot_order(sched, [_URGENT] * 12 + [_DEFERRABLE] * 2)
     self.assertIn(model.Klass.DEFERRABLE, order[:5])
 
   def test_fifo_baseline_serves_in_order_of_arrival(self):
     sched, _ = _make(policy="fifo")
-    order = self._finish_order(sched, [_DEFERRABLE] * 2 + [_URGENT])
+    order = self._slot_order(sched, [_DEFERRABLE] * 2 + [_URGENT])
     self.assertEqual(model.Klass.DEFERRABLE, order[0])
 
   def test_request_that_would_wait_too_long_is_refused_at_once(self):
