--- a/mustardfall/bench/virtual/play.py
+++ b/mustardfall/bench/virtual/play.py
@@ -13,8 +13,8 @@
 from mustardfall.bench.virtual import hosts as hosts_lib
 from mustardfall.bench.virtual import loop
 from mustardfall.bench.virtual import traffic
-from mustardfall.budget import comeback
 from mustardfall.budget import ledger
+from mustardfall.budget import retry_hint
 from mustardfall.kv import change
 
 _LEAD_S = 3.0
@@ -226,7 +226,7 @@
     accounts = host.accounts
     if accounts.pool.known.is_exhausted(request.team, request.tokens):
       return None
-    wait_s = comeback.most_s(accounts.store_away, patience_s)
+    wait_s = retry_hint.max_retry_s(accounts.store_away, patience_s)
     wait_s *= self._rng.uniform(0.5, 1.0)
     return wait_s if wait_s < patience_s / 3 else None
 
--- a/mustardfall/budget/comeback.py
+++ b/mustardfall/budget/retry_hint.py
@@ -7,7 +7,7 @@
 the longest answers, and callers heed no more than a third."""
 
 
-def most_s(store_away: bool, left_s: float) -> float:
+def max_retry_s(store_away: bool, left_s: float) -> float:
   """Returns when it may be worth to ask for tokens again, at most.
 
   Reservations and parts come back within a second or so. While the store
--- a/mustardfall/proxy/admission.py
+++ b/mustardfall/proxy/admission.py
@@ -7,8 +7,8 @@
 from mustardfall import accounts as accounts_lib
 from mustardfall import metrics
 from mustardfall import settings
-from mustardfall.budget import comeback
 from mustardfall.budget import reserving
+from mustardfall.budget import retry_hint
 from mustardfall.proxy import front
 from mustardfall.proxy import job as job_lib
 from mustardfall.proxy import messages
@@ -129,7 +129,9 @@
   def _tokens_back_s(self, job: job_lib.Job) -> float:
     """Returns when it may be worth to ask for tokens again."""
     left_s = job.deadline - self._clock.monotonic()
-    return self.retry_after(comeback.most_s(self._accounts.store_away, left_s))
+    return self.retry_after(
+        retry_hint.max_retry_s(self._accounts.store_away, left_s)
+    )
 
   def bill(self, job: job_lib.Job) -> None:
     """Settles the reservation with what the request used."""
@@ -138,6 +140,6 @@
     self._accounts.pool.settle(job.reservation, job.used)
     self._instruments.tokens.record(job.used, records.attributes(job))
 
-  def retry_after(self, most_s: float) -> float:
+  def retry_after(self, max_retry_s: float) -> float:
     """Returns when to come back: spread, so that not all come at once."""
-    return round(most_s * (0.5 + 0.5 * self._random.random()), 3)
+    return round(max_retry_s * (0.5 + 0.5 * self._random.random()), 3)
--- a/tests/test_known.py
+++ b/tests/test_known.py
@@ -12,10 +12,10 @@
 from mustardfall import settings
 from mustardfall.budget import allotment
 from mustardfall.budget import ceilings
-from mustardfall.budget import comeback
 from mustardfall.budget import known
 from mustardfall.budget import ledger
 from mustardfall.budget import policy
+from mustardfall.budget import retry_hint
 from mustardfall.membership import members
 from mustardfall.util import clock as clock_lib
 
@@ -111,11 +111,11 @@
 class ComebackTest(testtools.TestCase):
 
   def test_soon_while_the_store_answers(self):
-    self.assertEqual(1.5, comeback.most_s(False, 15.0))
+    self.assertEqual(1.5, retry_hint.max_retry_s(False, 15.0))
 
   def test_late_while_it_is_away_but_in_time_for_the_answer(self):
-    self.assertAlmostEqual(4.95, comeback.most_s(True, 15.0))
-    self.assertEqual(1.5, comeback.most_s(True, 1.0))
+    self.assertAlmostEqual(4.95, retry_hint.max_retry_s(True, 15.0))
+    self.assertEqual(1.5, retry_hint.max_retry_s(True, 1.0))
 
 
 class AskedFirstTest(testtools.TestCase):
