--- a/mustardfall/bench/virtual/play.py
+++ b/mustardfall/bench/virtual/play.py
@@ -188,7 +188,7 @@
     network = self._fleet.network
     away = not network.reaches_store(host.name)
     away = away or network.is_refused(host.name)
-    where = host.accounts.pool.known.whereabouts(team)
+    where = host.accounts.pool.budget_view.snapshot(team)
     if away and where is not None and where.idle >= tokens:
       return "cut off: promise too low"
     if away:
@@ -224,7 +224,7 @@
     if host is None or host.accounts is None:
       return _ELSEWHERE_S
     accounts = host.accounts
-    if accounts.pool.known.is_exhausted(request.team, request.tokens):
+    if accounts.pool.budget_view.is_exhausted(request.team, request.tokens):
       return None
     wait_s = retry_hint.max_retry_s(accounts.store_away, patience_s)
     wait_s *= self._rng.uniform(0.5, 1.0)
--- a/mustardfall/budget/known.py
+++ b/mustardfall/budget/budget_view.py
@@ -13,7 +13,7 @@
 from mustardfall.util import clock as clock_lib
 
 
-class Whereabouts(NamedTuple):
+class BudgetSnapshot(NamedTuple):
   """Where a budget's tokens are, as far as one router knows."""
 
   limit: int
@@ -54,7 +54,7 @@
   limit_version: int
 
 
-class Known:
+class BudgetView:
   """The ledgers as last seen, the limits in force, and who owns what.
 
   Args:
@@ -99,7 +99,7 @@
     self._seen_at[budget] = self._clock.monotonic()
     self._targets.pop(budget, None)
 
-  def whereabouts(self, budget: str) -> Whereabouts | None:
+  def snapshot(self, budget: str) -> BudgetSnapshot | None:
     """Returns where a budget's tokens are; None: its ledger was never seen."""
     found = self.ledgers.get(budget)
     if found is None:
@@ -108,7 +108,7 @@
     own = {row.gid for row in rows}
     grants = found["grants"].items()
     live = [row for row in rows if not row.retiring]
-    return Whereabouts(
+    return BudgetSnapshot(
         limit=found["limit"],
         spent=found["spent"],
         free=ledger.headroom(found),
--- a/mustardfall/budget/drawing.py
+++ b/mustardfall/budget/drawing.py
@@ -12,8 +12,8 @@
 
 from mustardfall import settings
 from mustardfall.budget import allotment
+from mustardfall.budget import budget_view as budget_view_lib
 from mustardfall.budget import granting
-from mustardfall.budget import known as known_lib
 from mustardfall.budget import recalling
 from mustardfall.budget import refusals as refusals_lib
 from mustardfall.budget import settling
@@ -78,7 +78,7 @@
     clock: the time source.
     members: told of routers that do not answer.
     peers: calls to other routers.
-    known: what is known of the budgets.
+    budget_view: what is known of the budgets.
     table: this router's allotments.
     refusals: budgets that lately could not give.
     granter: asks the KV.
@@ -93,7 +93,7 @@
       clock: clock_lib.Clock,
       members: members_lib.Members,
       peers: peers_lib.Client,
-      known: known_lib.Known,
+      budget_view: budget_view_lib.BudgetView,
       table: allotment.Table,
       refusals: refusals_lib.Refusals,
       granter: granting.Granter,
@@ -105,7 +105,7 @@
     self._clock = clock
     self._members = members
     self._peers = peers
-    self._known = known
+    self._budget_view = budget_view
     self._table = table
     self._refusals = refusals
     self._granter = granter
@@ -143,8 +143,8 @@
 
   def _runs_low(self, budget: str) -> bool:
     """Whether so little is left here that it should be refilled."""
-    target = self._known.target(budget)
-    if target is None or self._known.owner(budget) is not None:
+    target = self._budget_view.target(budget)
+    if target is None or self._budget_view.owner(budget) is not None:
       return self._table.running_low(budget)
     return self._table.undrawn(budget) < target * self._config.low_mark
 
@@ -154,7 +154,7 @@
     A request that comes while the store is away is served from what is
     held here, or not at all; it may be the team's first here.
     """
-    for budget in self._known.own():
+    for budget in self._budget_view.own():
       if budget not in self._table.by_budget:
         self._note_low(budget, budget)
 
@@ -167,7 +167,7 @@
       self, budget: str, tokens: int, customer: str
   ) -> allotment.Reservation | None:
     """Gets tokens, for as long as the customer's policy has patience."""
-    patience_s = self._known.policy_of(customer).patience_s
+    patience_s = self._budget_view.policy_of(customer).patience_s
     deadline = self._clock.monotonic() + patience_s
     self._demand[budget] += tokens
     try:
@@ -179,7 +179,7 @@
           return found
         now = self._clock.monotonic()
         hopeless = self._refusals.lasts_s(budget) > patience_s
-        hopeless = hopeless or self._known.is_exhausted(budget, tokens)
+        hopeless = hopeless or self._budget_view.is_exhausted(budget, tokens)
         if now >= deadline or hopeless or self.stopping:
           return None
         await anyio.sleep(_WAIT_STEP_S)
@@ -194,7 +194,7 @@
     Tokens that come free here are found in the table all the same.
     """
     refused = self._refusals.repeat(budget, tokens)
-    return refused or self._known.is_exhausted(budget, tokens)
+    return refused or self._budget_view.is_exhausted(budget, tokens)
 
   async def _fetch(self, budget: str, tokens: int, customer: str) -> None:
     """Asks the owner, the KV and the owner's deputies, until one answers.
@@ -206,14 +206,14 @@
       return
     demand = max(tokens, self._demand.get(budget, 0))
     part = self._table.want_part(budget, demand)
-    owner = self._known.owner(budget)
-    asked = self._known.asked_first(budget)
+    owner = self._budget_view.owner(budget)
+    asked = self._budget_view.asked_first(budget)
     for other in asked:
       if await self._ask(other, budget, tokens, part, customer):
         return
     if await self.from_kv(budget, tokens, customer, owner is None):
       return
-    for deputy in self._known.deputies(budget):
+    for deputy in self._budget_view.deputies(budget):
       if deputy in asked:
         continue
       if await self._ask(deputy, budget, tokens, part, customer):
@@ -278,7 +278,7 @@
       # Short: the owner knows best, and answers from its own memory.
       self._refusals.note(budget, least, _OWNER_REFUSAL_TTL_S)
       if answer.exhausted:
-        self._known.note_exhausted(budget, least)
+        self._budget_view.note_exhausted(budget, least)
     if answer.unsure and self._members.is_large:
       self._members.suspect(owner.life)
     return not answer.unsure
@@ -331,8 +331,8 @@
       if raised:
         flight.note_answer()
       return
-    margin = self._known.policy_of(customer).margin
-    blind = budget not in self._known.ledgers
+    margin = self._budget_view.policy_of(customer).margin
+    blind = budget not in self._budget_view.ledgers
     # In an owner's place only what is needed now: a store of tokens
     # here would lie idle once the owner answers again.
     demand = max(least, self._demand.get(budget, 0))
@@ -353,9 +353,9 @@
       await self._granter.grant(budget, least, want, margin, owns)
     if not self._table.has_room(budget, least):
       self._refusals.note(budget, least, self._config.refusal_ttl_s)
-      left = self._known.most_left(budget, margin)
+      left = self._budget_view.most_left(budget, margin)
       if left is not None and left < least:
-        self._known.note_exhausted(budget, least)
+        self._budget_view.note_exhausted(budget, least)
 
   async def _refill(self, budget: str, customer: str) -> None:
     flight = self._flights[budget]
@@ -376,7 +376,7 @@
       return
     if now < self._refill_at.get(budget, -float("inf")):
       return
-    owner = self._known.owner(budget)
+    owner = self._budget_view.owner(budget)
     size = self._table.want if owner is None else self._table.want_part
     want = size(budget, 1)
     least = max(1, want // 4) if owner is not None else 1
@@ -388,7 +388,7 @@
     if not (blind or self._granter.is_worth_a_refill(budget)):
       self._refill_at[budget] = now + _REFILL_PAUSE_S
       return
-    margin = self._known.policy_of(customer).margin
+    margin = self._budget_view.policy_of(customer).margin
     await self._granter.grant(budget, least, want, margin)
     if self._runs_low(budget):
       self._refill_at[budget] = now + _REFILL_PAUSE_S
--- a/mustardfall/budget/granting.py
+++ b/mustardfall/budget/granting.py
@@ -7,9 +7,9 @@
 from mustardfall import errors
 from mustardfall import settings
 from mustardfall.budget import allotment
+from mustardfall.budget import budget_view as budget_view_lib
 from mustardfall.budget import ceilings as ceilings_lib
 from mustardfall.budget import holding
-from mustardfall.budget import known as known_lib
 from mustardfall.budget import ledger
 from mustardfall.budget import refusals as refusals_lib
 from mustardfall.budget import settling
@@ -34,7 +34,7 @@
     config: how grants are sized.
     clock: the time source.
     members: how many regions share a budget.
-    known: what is known of the budgets.
+    budget_view: what is known of the budgets.
     table: this router's allotments.
     refusals: budgets that lately could not give.
     settler: settles grants and reports their use.
@@ -48,7 +48,7 @@
       config: settings.Allotment,
       clock: clock_lib.Clock,
       members: members_lib.Members,
-      known: known_lib.Known,
+      budget_view: budget_view_lib.BudgetView,
       table: allotment.Table,
       refusals: refusals_lib.Refusals,
       settler: settling.Settler,
@@ -59,7 +59,7 @@
     self._config = config
     self._clock = clock
     self._members = members
-    self._known = known
+    self._budget_view = budget_view
     self._table = table
     self._refusals = refusals
     self._settler = settler
@@ -98,13 +98,13 @@
       self, budget: str, row: allotment.Row | None, least: int
   ) -> ceilings_lib.Ceiling | None:
     """Returns a new promise for a row, noted there as sent."""
-    limit = self._known.limit_of(budget)
+    limit = self._budget_view.limit_of(budget)
     if limit is None or not self._config.reports:
       return None
     drawn = 0 if row is None else row.drawn
     slack, rate = least, 0.0  # nothing more draws on a retired row
     if row is None or not row.retiring:
-      view = self._known.view(budget, limit)
+      view = self._budget_view.view(budget, limit)
       slack = max(least, holding.slack(view, self._config))
       rate = holding.growth(view, self._config)
     ceiling = ceilings_lib.Ceiling(
@@ -143,10 +143,10 @@
     A budget runs low here while requests in flight have most of what is held
     set aside; until they have ended no more may be held.
     """
-    limit = self._known.limit_of(budget)
+    limit = self._budget_view.limit_of(budget)
     if limit is None:
       return True
-    view = self._known.view(budget, limit)
+    view = self._budget_view.view(budget, limit)
     target = holding.target(view, self._config)
     return target - view.held >= target * _LEAST_REFILL
 
@@ -159,10 +159,10 @@
       owns: bool = True,
   ) -> ledger.Ledger | None:
     """Asks the KV for one grant; None when the KV gave no answer."""
-    limit = self._known.limit_of(budget)
+    limit = self._budget_view.limit_of(budget)
     share = self._share()
     if owns and limit is not None:
-      view = self._known.view(budget, limit)
+      view = self._budget_view.view(budget, limit)
       want = max(least, holding.target(view, self._config) - view.held)
       if view.free is None:
         # Of a ledger that was not seen yet most may be gone; the share is
--- a/mustardfall/budget/handing.py
+++ b/mustardfall/budget/handing.py
@@ -6,8 +6,8 @@
 
 from mustardfall import settings
 from mustardfall.budget import allotment
+from mustardfall.budget import budget_view as budget_view_lib
 from mustardfall.budget import drawing
-from mustardfall.budget import known as known_lib
 from mustardfall.budget import refusals as refusals_lib
 from mustardfall.budget import settling
 from mustardfall.kv import writer as writer_lib
@@ -33,7 +33,7 @@
     clock: the time source.
     members: who is up and owns what.
     peers: calls to other routers.
-    known: what is known of the budgets.
+    budget_view: what is known of the budgets.
     table: this router's allotments.
     refusals: budgets that lately could not give.
     drawer: gets what is handed on.
@@ -48,7 +48,7 @@
       clock: clock_lib.Clock,
       members: members_lib.Members,
       peers: peers_lib.Client,
-      known: known_lib.Known,
+      budget_view: budget_view_lib.BudgetView,
       table: allotment.Table,
       refusals: refusals_lib.Refusals,
       drawer: drawing.Drawer,
@@ -60,7 +60,7 @@
     self._clock = clock
     self._members = members
     self._peers = peers
-    self._known = known
+    self._budget_view = budget_view
     self._table = table
     self._refusals = refusals
     self._drawer = drawer
@@ -75,7 +75,7 @@
       self._drawer.look_ahead(ask.budget, ask.customer)
     if handed.tokens or self._drawer.stopping:
       return handed._replace(unsure=not handed.tokens)
-    if self._known.is_exhausted(ask.budget, ask.least):
+    if self._budget_view.is_exhausted(ask.budget, ask.least):
       return handed._replace(exhausted=True)
     if self._refusals.repeat(ask.budget, ask.least):
       return handed
@@ -85,11 +85,11 @@
     handed = self._hand_on(ask)
     if handed.tokens:
       return handed
-    exhausted = self._known.is_exhausted(ask.budget, ask.least)
+    exhausted = self._budget_view.is_exhausted(ask.budget, ask.least)
     return handed._replace(unsure=not answered, exhausted=exhausted)
 
   def _owns(self, budget: str) -> bool:
-    return self._known.owner(budget) is None
+    return self._budget_view.owner(budget) is None
 
   def _hand_on(self, ask: peers_lib.Ask) -> peers_lib.Handed:
     share = self._config.part_share
@@ -114,7 +114,7 @@
       return
     now = self._clock.monotonic()
     for row in self._table.rows.values():
-      if row.source or self._known.owner(row.budget) is None:
+      if row.source or self._budget_view.owner(row.budget) is None:
         continue
       if now - row.drawn_at >= _STAND_IN_S:
         row.retiring = True
--- a/mustardfall/budget/pool.py
+++ b/mustardfall/budget/pool.py
@@ -18,11 +18,11 @@
 
 from mustardfall import settings
 from mustardfall.budget import allotment
+from mustardfall.budget import budget_view as budget_view_lib
 from mustardfall.budget import drawing
 from mustardfall.budget import granting
 from mustardfall.budget import handing
 from mustardfall.budget import holding
-from mustardfall.budget import known as known_lib
 from mustardfall.budget import ledger
 from mustardfall.budget import policy as policy_lib
 from mustardfall.budget import recalling
@@ -72,7 +72,7 @@
     self._refusals = refusals.Refusals(clock)
     self._reported_at = -float("inf")
     self.table = allotment.Table(members.me.life, self._config)
-    self.known = known_lib.Known(
+    self.budget_view = budget_view_lib.BudgetView(
         self._config,
         clock,
         members,
@@ -90,7 +90,7 @@
         clock,
         members,
         peers,
-        self.known,
+        self.budget_view,
         writer,
         clock_check,
         self.renewer,
@@ -110,7 +110,7 @@
         self._config,
         clock,
         members,
-        self.known,
+        self.budget_view,
         self.table,
         self._refusals,
         self._settler,
@@ -123,7 +123,7 @@
         clock,
         members,
         peers,
-        self.known,
+        self.budget_view,
         self.table,
         self._refusals,
         self._granter,
@@ -136,7 +136,7 @@
         clock,
         members,
         peers,
-        self.known,
+        self.budget_view,
         self.table,
         self._refusals,
         self.drawer,
@@ -178,7 +178,7 @@
   def sweep(self, budget: str, found: ledger.Ledger) -> None:
     """Takes in what a ledger shows of this router's grants, and others'."""
     now = self._clock.monotonic()
-    self.known.note(budget, found)
+    self.budget_view.note(budget, found)
     for gid in self.table.by_budget.get(budget, ()):
       self.table.grow(gid, ledger.granted(found, gid), now)
       ceiling = ledger.ceiling(found, gid)
@@ -213,7 +213,7 @@
       self._reported_at = now
       self._granter.report_use()
       self.renewer.renew()
-    self.known.tick()
+    self.budget_view.tick()
     self.drawer.prefetch()
     self.owner.return_unowned()
     self.owner.write_off_parts()
@@ -221,7 +221,7 @@
     quiet_since = now - self._config.term_s
     for part in (
         self._refusals,
-        self.known,
+        self.budget_view,
         self.recaller,
         self.reviewer,
         self.drawer,
--- a/mustardfall/budget/reviewing.py
+++ b/mustardfall/budget/reviewing.py
@@ -6,7 +6,7 @@
 import anyio
 
 from mustardfall import errors
-from mustardfall.budget import known as known_lib
+from mustardfall.budget import budget_view as budget_view_lib
 from mustardfall.budget import ledger
 from mustardfall.budget import renewals
 from mustardfall.kv import writer as writer_lib
@@ -38,7 +38,7 @@
     clock: the time source.
     members: who is up.
     peers: calls to other routers.
-    known: what is known of the budgets.
+    budget_view: what is known of the budgets.
     writer: the batch writer to the KV.
     clock_check: vouches for the wall clock, if anything does.
     renewer: knows when earlier lives renewed their promises.
@@ -50,7 +50,7 @@
       clock: clock_lib.Clock,
       members: members_lib.Members,
       peers: peers_lib.Client,
-      known: known_lib.Known,
+      budget_view: budget_view_lib.BudgetView,
       writer: writer_lib.Writer,
       clock_check: clockcheck.ClockCheck | None,
       renewer: renewals.Renewer,
@@ -59,7 +59,7 @@
     self._clock = clock
     self._members = members
     self._peers = peers
-    self._known = known
+    self._budget_view = budget_view
     self._writer = writer
     self._clock_check = clock_check
     self._renewer = renewer
@@ -136,7 +136,7 @@
     me = self._members.me.life
     renewed = await self._renewer.earlier(_RENEWALS_WAIT_S)
     change = ledger.Reclaim(me, self._vouch(self._started), renewed)
-    before = self._known.ledgers.get(budget)
+    before = self._budget_view.ledgers.get(budget)
     try:
       after = await self._writer.submit(ledger.key(budget), change)
     except (errors.KvUnavailableError, errors.KvUnknownError) as exc:
--- a/mustardfall/proxy/admission.py
+++ b/mustardfall/proxy/admission.py
@@ -120,9 +120,9 @@
     job.reserved_after_s = self._clock.monotonic() - began
     if job.reservation is not None:
       return
-    known = self._accounts.pool.known
-    where = known.whereabouts(budget)
-    if known.is_exhausted(budget, usage.most):
+    budget_view = self._accounts.pool.budget_view
+    where = budget_view.snapshot(budget)
+    if budget_view.is_exhausted(budget, usage.most):
       raise refusals.exhausted(where)
     raise refusals.no_tokens(where, self._tokens_back_s(job))
 
--- a/mustardfall/proxy/refusals.py
+++ b/mustardfall/proxy/refusals.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from mustardfall.budget import known
+from mustardfall.budget import budget_view
 
 
 class RefusalError(Exception):
@@ -60,14 +60,14 @@
   return RefusalError(401, "unknown API key", facts={"version": version})
 
 
-def exhausted(where: known.Whereabouts | None) -> RefusalError:
+def exhausted(where: budget_view.BudgetSnapshot | None) -> RefusalError:
   """The budget cannot cover the request, whatever comes back to it."""
   facts = where._asdict() if where else None
   return RefusalError(402, "budget used up", facts=facts)
 
 
 def no_tokens(
-    where: known.Whereabouts | None, retry_after_s: float
+    where: budget_view.BudgetSnapshot | None, retry_after_s: float
 ) -> RefusalError:
   """The budget's tokens are held elsewhere, or out of reach."""
   facts = where._asdict() if where else None
--- a/tests/test_known.py
+++ b/tests/test_known.py
@@ -11,8 +11,8 @@
 from mustardfall import events
 from mustardfall import settings
 from mustardfall.budget import allotment
+from mustardfall.budget import budget_view
 from mustardfall.budget import ceilings
-from mustardfall.budget import known
 from mustardfall.budget import ledger
 from mustardfall.budget import policy
 from mustardfall.budget import retry_hint
@@ -28,7 +28,7 @@
     self.limit = ledger.Limit(1_000, 1)
     config = settings.Allotment()
     self.table = allotment.Table("a:1", config)
-    self.known = known.Known(
+    self.budget_view = budget_view.BudgetView(
         config,
         self.clock,
         None,
@@ -45,34 +45,34 @@
     self.clock.advance(datetime.timedelta(seconds=seconds))
 
   def _is_exhausted(self, tokens: int = 50) -> bool:
-    return self.known.is_exhausted("b", tokens)
+    return self.budget_view.is_exhausted("b", tokens)
 
   def test_believed_longer_each_time_it_is_found_so(self):
     # A used-up budget asked for 20 times a second by each of 8 routers cost
     # a look at the ledger each half second and router, found for nothing.
     for believed_s in (0.5, 1.0, 2.0, 4.0, 4.0):
-      self.known.note_exhausted("b", 50)
+      self.budget_view.note_exhausted("b", 50)
       self._pass(believed_s - 0.01)
       self.assertTrue(self._is_exhausted())
       self._pass(0.02)
       self.assertFalse(self._is_exhausted())
 
   def test_smaller_request_is_not_refused_for_a_larger_one(self):
-    self.known.note_exhausted("b", 50)
+    self.budget_view.note_exhausted("b", 50)
     self.assertFalse(self._is_exhausted(49))
     self.assertTrue(self._is_exhausted(51))
 
   def test_raised_limit_ends_it_at_once(self):
-    self.known.note_exhausted("b", 50)
+    self.budget_view.note_exhausted("b", 50)
     self.limit = ledger.Limit(2_000, 2)
     self.assertFalse(self._is_exhausted())
 
   def test_quiet_for_a_while_it_begins_anew(self):
     for _ in range(3):
-      self.known.note_exhausted("b", 50)
+      self.budget_view.note_exhausted("b", 50)
       self._pass(1.0)
     self._pass(10.0)
-    self.known.note_exhausted("b", 50)
+    self.budget_view.note_exhausted("b", 50)
     self._pass(0.51)
     self.assertFalse(self._is_exhausted())
 
@@ -100,12 +100,12 @@
     found = self._found(
         grants={"c:1:1": 100}, lost={"d:1:1": 40}, ceilings={"d:1:1": ceiling}
     )
-    self.known.note("b", found)
-    self.assertEqual(300 - 10, self.known.most_left("b", 0.01))
+    self.budget_view.note("b", found)
+    self.assertEqual(300 - 10, self.budget_view.most_left("b", 0.01))
 
   def test_what_was_written_off_for_good_does_not_count(self):
-    self.known.note("b", self._found(lost={"d:1:1": 40}))
-    self.assertEqual(260 - 10, self.known.most_left("b", 0.01))
+    self.budget_view.note("b", self._found(lost={"d:1:1": 40}))
+    self.assertEqual(260 - 10, self.budget_view.most_left("b", 0.01))
 
 
 class ComebackTest(testtools.TestCase):
@@ -127,7 +127,7 @@
   same records: 313 transactions a second, 70 before.
   """
 
-  def _known(self, routers: int) -> known.Known:
+  def _known(self, routers: int) -> budget_view.BudgetView:
     everyone = [
         members.Member(f"r{i}", "e", f"http://r{i}", "dc", "here")
         for i in range(routers)
@@ -136,7 +136,7 @@
     config = settings.Membership()
     self.view = members.Members(None, everyone[0], config, clock, events.Bus())
     self.view.take(everyone)
-    return known.Known(
+    return budget_view.BudgetView(
         settings.Allotment(),
         clock,
         self.view,
@@ -146,7 +146,7 @@
         tuple,
     )
 
-  def _not_mine(self, found: known.Known) -> str:
+  def _not_mine(self, found: budget_view.BudgetView) -> str:
     """Returns a budget for which this router is neither owner nor deputy."""
     me = self.view.me
     names = (f"b{i}" for i in range(1000))
