--- a/mustardfall/accounts.py
+++ b/mustardfall/accounts.py
@@ -106,7 +106,7 @@
       self._bus.emit(events.Name.LEDGER_READ, (name, value))
 
   @property
-  def store_away(self) -> bool:
+  def store_unreachable(self) -> bool:
     """Whether no new tokens can be had, since the store does not answer."""
     return not self._kv.reachable
 
@@ -114,7 +114,7 @@
     """Returns what the budget's ledger said when last seen, if ever."""
     return self._balances.get(budget)
 
-  async def look_up(self, budget: str) -> ledger.Balance | None:
+  async def fetch_balance(self, budget: str) -> ledger.Balance | None:
     """Returns what the ledger says, read from the KV if it was never seen.
 
     One read per budget and router: from then on what was seen is known. None
@@ -152,7 +152,7 @@
       await anyio.sleep(self._config.allotment.settle_s)
       await self.pool.settle_parts()
 
-  async def hand_back(self) -> None:
+  async def return_allotments(self) -> None:
     """Hands every allotment back; called after the drain."""
     await self.members.leave()
     await self.pool.stop()
--- a/mustardfall/api/calls.py
+++ b/mustardfall/api/calls.py
@@ -55,7 +55,7 @@
     count(router, entry, End.REFUSED)
     # A router that draws through the budget's owner may never have seen the
     # ledger; told to come back, a hopeless request would do so for ever.
-    known = await router.accounts.look_up(entry.name)
+    known = await router.accounts.fetch_balance(entry.name)
     if known is not None and tokens > known.limit:
       # Come back, and it would be refused for ever.
       return verdict.refuse(
--- a/mustardfall/bench/virtual/hosts.py
+++ b/mustardfall/bench/virtual/hosts.py
@@ -227,7 +227,7 @@
     if self.accounts is not accounts:
       return  # killed meanwhile
     with anyio.move_on_after(_STOP_S):
-      await accounts.hand_back()
+      await accounts.return_allotments()
       await accounts.writer.flush(_STOP_S)
     self.kill(power=False)
 
--- a/mustardfall/bench/virtual/play.py
+++ b/mustardfall/bench/virtual/play.py
@@ -226,7 +226,7 @@
     accounts = host.accounts
     if accounts.pool.budget_view.is_exhausted(request.team, request.tokens):
       return None
-    wait_s = retry_hint.max_retry_s(accounts.store_away, patience_s)
+    wait_s = retry_hint.max_retry_s(accounts.store_unreachable, patience_s)
     wait_s *= self._rng.uniform(0.5, 1.0)
     return wait_s if wait_s < patience_s / 3 else None
 
--- a/mustardfall/budget/retry_hint.py
+++ b/mustardfall/budget/retry_hint.py
@@ -7,7 +7,7 @@
 the longest answers, and callers heed no more than a third."""
 
 
-def max_retry_s(store_away: bool, left_s: float) -> float:
+def max_retry_s(store_unreachable: bool, left_s: float) -> float:
   """Returns when it may be worth to ask for tokens again, at most.
 
   Reservations and parts come back within a second or so. While the store
@@ -16,9 +16,9 @@
   as late as still leaves it the time for its answer.
 
   Args:
-    store_away: whether the store does not answer this router.
+    store_unreachable: whether the store does not answer this router.
     left_s: the time that the caller has left, seconds.
   """
-  if not store_away:
+  if not store_unreachable:
     return _TOKENS_BACK_S
   return max(_TOKENS_BACK_S, left_s * _RETURN_SHARE)
--- a/mustardfall/daemons/router.py
+++ b/mustardfall/daemons/router.py
@@ -53,7 +53,7 @@
           config.drain_s,
           drained,
       )
-      await router.hand_back()
+      await router.return_allotments()
       ended.set()
     await router.finish()
     loops.cancel_scope.cancel()
--- a/mustardfall/gateway.py
+++ b/mustardfall/gateway.py
@@ -338,7 +338,7 @@
     finished = await served.finish(max(0.0, left_s))
     with anyio.move_on_after(max(0.1, ends - self.clock.monotonic())):
       try:
-        await self.accounts.hand_back()
+        await self.accounts.return_allotments()
       except Exception:  # noqa: BLE001  the next life gives it back
         logger.exception("budgets not handed back")
       await self.accounts.writer.flush(hand_back_s)
--- a/mustardfall/proxy/admission.py
+++ b/mustardfall/proxy/admission.py
@@ -130,7 +130,7 @@
     """Returns when it may be worth to ask for tokens again."""
     left_s = job.deadline - self._clock.monotonic()
     return self.retry_after(
-        retry_hint.max_retry_s(self._accounts.store_away, left_s)
+        retry_hint.max_retry_s(self._accounts.store_unreachable, left_s)
     )
 
   def bill(self, job: job_lib.Job) -> None:
