--- a/mustardfall/bench/virtual/hosts.py
+++ b/mustardfall/bench/virtual/hosts.py
@@ -142,7 +142,7 @@
         client,
         events.Bus(),
         _post,
-        lambda customer: policy.CONFIGURED,
+        lambda customer: policy.CONFIGURED_BUDGETS,
         self._limits.get,
         epoch=f"{fleet.rng.getrandbits(32):08x}",
         budgets=self._limits.keys,
--- a/mustardfall/budget/drawing.py
+++ b/mustardfall/budget/drawing.py
@@ -167,8 +167,8 @@
       self, budget: str, tokens: int, customer: str
   ) -> allotment.Reservation | None:
     """Gets tokens, for as long as the customer's policy has patience."""
-    patience_s = self._budget_view.policy_of(customer).patience_s
-    deadline = self._clock.monotonic() + patience_s
+    max_wait_s = self._budget_view.policy_of(customer).max_wait_s
+    deadline = self._clock.monotonic() + max_wait_s
     self._demand[budget] += tokens
     try:
       while True:
@@ -178,7 +178,7 @@
         if found is not None:
           return found
         now = self._clock.monotonic()
-        hopeless = self._refusals.lasts_s(budget) > patience_s
+        hopeless = self._refusals.lasts_s(budget) > max_wait_s
         hopeless = hopeless or self._budget_view.is_exhausted(budget, tokens)
         if now >= deadline or hopeless or self.stopping:
           return None
--- a/mustardfall/budget/policy.py
+++ b/mustardfall/budget/policy.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 
-class Weighs(enum.StrEnum):
+class Preference(enum.StrEnum):
   """Which of the two measures a customer weighs more."""
 
   OVERSPEND = "overspend"
@@ -24,16 +24,16 @@
 
   margin: float
   """Share of a budget's limit that is never granted."""
-  patience_s: float
+  max_wait_s: float
   """Seconds a request may wait for tokens before it is refused."""
 
 
 POLICIES = {
-    Weighs.OVERSPEND: Policy(margin=0.01, patience_s=0.0),
-    Weighs.FALSE_REFUSALS: Policy(margin=0.0, patience_s=0.4),
+    Preference.OVERSPEND: Policy(margin=0.01, max_wait_s=0.0),
+    Preference.FALSE_REFUSALS: Policy(margin=0.0, max_wait_s=0.4),
 }
 
-CONFIGURED = Policy(margin=0.01, patience_s=0.05)
+CONFIGURED_BUDGETS = Policy(margin=0.01, max_wait_s=0.05)
 """For budgets that a platform's configuration sets, whoever the customer is.
 A hundredth is never granted: a request of ours that was cut off between its
 check and its send (a frozen host) may run after its tokens were given on.
--- a/mustardfall/catalogue/table.py
+++ b/mustardfall/catalogue/table.py
@@ -107,7 +107,7 @@
     """Names changed since the base, to their key's digest (None: gone)."""
     self._over: dict[bytes, Found] = {}
     """Changed entries by their key's digest."""
-    self._weighs: dict[str, policy.Weighs] = {}
+    self._weighs: dict[str, policy.Preference] = {}
     self.placements: dict[str, frozenset[str]] = {}
     """The models that engines shall have loaded, by the engine's name."""
 
@@ -170,5 +170,5 @@
 
   def policy_of(self, customer: str) -> policy.Policy:
     """Returns how the edge of the customer's budgets is treated."""
-    weighs = self._weighs.get(customer, policy.Weighs.OVERSPEND)
+    weighs = self._weighs.get(customer, policy.Preference.OVERSPEND)
     return policy.POLICIES[weighs]
--- a/mustardfall/gateway.py
+++ b/mustardfall/gateway.py
@@ -105,7 +105,7 @@
         self.kv,
         self.bus,
         self._post,
-        lambda customer: policy.CONFIGURED,
+        lambda customer: policy.CONFIGURED_BUDGETS,
         self._limit_of,
         budgets=self._budgets,
     )
--- a/tests/test_known.py
+++ b/tests/test_known.py
@@ -33,7 +33,7 @@
         self.clock,
         None,
         self.table,
-        lambda _: policy.CONFIGURED,
+        lambda _: policy.CONFIGURED_BUDGETS,
         lambda _: self.limit,
         tuple,
     )
@@ -141,7 +141,7 @@
         clock,
         self.view,
         None,
-        lambda _: policy.CONFIGURED,
+        lambda _: policy.CONFIGURED_BUDGETS,
         lambda _: None,
         tuple,
     )
--- a/tests/test_pool_states.py
+++ b/tests/test_pool_states.py
@@ -30,7 +30,7 @@
 
 _NAMES = ("r1", "r2", "r3")
 _LIMIT = 400
-_POLICY = policy.Policy(margin=0.0, patience_s=0.0)
+_POLICY = policy.Policy(margin=0.0, max_wait_s=0.0)
 _ALLOTMENT = settings.Allotment(
     min_tokens=60, term_s=1.0, refusal_ttl_s=0.001, recall_s=0.001
 )
