--- a/mustardfall/api/peer.py
+++ b/mustardfall/api/peer.py
@@ -17,7 +17,7 @@
 
   async def _reserve(request: requests.Request) -> responses.Response:
     ask = peers.Ask(**await request.json())
-    handed = await router.pool.owner.serve_ask(ask)
+    handed = await router.pool.owner.serve_part_request(ask)
     return responses.JSONResponse(handed._asdict())
 
   async def _settle(request: requests.Request) -> responses.Response:
--- a/mustardfall/bench/virtual/hosts.py
+++ b/mustardfall/bench/virtual/hosts.py
@@ -84,7 +84,7 @@
 async def _serve(accounts: accounts_lib.Accounts, path: str, body: dict):
   pool = accounts.pool
   if path == peers.RESERVE_PATH:
-    return (await pool.owner.serve_ask(peers.Ask(**body)))._asdict()
+    return (await pool.owner.serve_part_request(peers.Ask(**body)))._asdict()
   if path == peers.SETTLE_PATH:
     pool.owner.serve_settle([peers.Ended(**row) for row in body["ended"]])
   elif path == peers.RECALL_PATH:
--- a/mustardfall/bench/virtual/play.py
+++ b/mustardfall/bench/virtual/play.py
@@ -337,7 +337,7 @@
       return 0
     found = change.decode(record.value)
     held = sum(
-        max(0, row.may_return)
+        max(0, row.unconsumed)
         for host in self._fleet.hosts.values()
         if host.accounts is not None
         for row in host.accounts.pool.table.rows.values()
--- a/mustardfall/budget/allotment.py
+++ b/mustardfall/budget/allotment.py
@@ -116,7 +116,7 @@
     return all(self.drawn <= p.ceiling.tokens for p in self.promises)
 
   @property
-  def may_return(self) -> int:
+  def unconsumed(self) -> int:
     """Tokens not used for certain: free, reserved or handed on."""
     return self.granted - self.used - sum(self.parts_used.values())
 
@@ -219,7 +219,7 @@
     reserved: only what was used for certain is not lost.
     """
     rows = [self.rows[gid] for gid in self.by_budget.get(budget, ())]
-    return sum(max(row.may_return, 0) for row in rows if not row.source)
+    return sum(max(row.unconsumed, 0) for row in rows if not row.source)
 
   def undrawn(self, budget: str) -> int:
     """Returns the budget's tokens here that nothing has set aside."""
--- a/mustardfall/budget/budget_view.py
+++ b/mustardfall/budget/budget_view.py
@@ -194,7 +194,7 @@
       left += limit.tokens - found["limit"]
     for gid, tokens in found["grants"].items():
       row = self._table.rows.get(gid)
-      left += tokens if row is None else max(row.may_return, 0)
+      left += tokens if row is None else max(row.unconsumed, 0)
     for gid, tokens in found["lost"].items():
       if ledger.ceiling(found, gid) is not None:
         left += tokens  # not reviewed yet
--- a/mustardfall/budget/handing.py
+++ b/mustardfall/budget/handing.py
@@ -68,7 +68,7 @@
     self._writer = writer
     self._counts = counts
 
-  async def serve_ask(self, ask: peers_lib.Ask) -> peers_lib.Handed:
+  async def serve_part_request(self, ask: peers_lib.Ask) -> peers_lib.Handed:
     """Hands a part of an owned budget on to another router."""
     handed = self._hand_on(ask)
     if handed.tokens:
--- a/mustardfall/proxy/internal.py
+++ b/mustardfall/proxy/internal.py
@@ -92,7 +92,9 @@
     await responder.answer(200, [], json.dumps(answer).encode())
 
   async def _reserve(self, body: dict[str, Any]) -> dict[str, Any]:
-    handed = await self._accounts.pool.owner.serve_ask(peers.Ask(**body))
+    handed = await self._accounts.pool.owner.serve_part_request(
+        peers.Ask(**body)
+    )
     return handed._asdict()
 
   async def _settle(self, body: dict[str, Any]) -> dict[str, Any]:
--- a/tests/test_pool_states.py
+++ b/tests/test_pool_states.py
@@ -105,7 +105,7 @@
     return None if self._world.lose == "answer" else answer
 
   async def reserve(self, owner, ask):
-    return await self._call(owner, lambda p: p.owner.serve_ask(ask))
+    return await self._call(owner, lambda p: p.owner.serve_part_request(ask))
 
   async def settle(self, owner, ended):
     async def _settle(p):
