--- a/mustardfall/accounts.py
+++ b/mustardfall/accounts.py
@@ -89,11 +89,13 @@
         self.clock_check,
         budgets,
     )
-    bus.connect(events.Name.LEDGER_READ, lambda e: self.pool.sweep(*e))
+    bus.connect(
+        events.Name.LEDGER_READ, lambda e: self.pool.update_from_ledger(*e)
+    )
 
   def _on_value(self, key: str, value: change.Value) -> None:
     if key == self.pool.renewer.key:
-      self.pool.renewer.take(value)
+      self.pool.renewer.update(value)
       return
     if key.startswith(ledger.PREFIX):
       name = key.removeprefix(ledger.PREFIX)
@@ -141,7 +143,7 @@
     return (
         self.writer.run,
         self.members.register,
-        self.pool.drawer.run,
+        self.pool.acquirer.run,
         self.pool.reviewer.run,
         self.clock_check.run,
         self._settle_parts,
--- a/mustardfall/budget/allotment.py
+++ b/mustardfall/budget/allotment.py
@@ -15,16 +15,16 @@
 from mustardfall import settings
 from mustardfall.budget import ceilings as ceilings_lib
 
-_QUIET_PART = 0.33
+_INITIAL_QUIET_FRACTION = 0.33
 """Part of the averaging time for which a budget is held to have been quiet
 before it was first drawn on."""
-_RATE_FLOOR = 0.5
+_MIN_RATE_TOKENS_S = 0.5
 """Tokens a second below which a budget's rate is forgotten."""
-_SLACK_LOW = 0.4
+_LOW_SLACK_FRACTION = 0.4
 """A promise is renewed ahead of time when this part of its slack is left."""
-_REQUEST_WEIGHT = 0.1
+_REQUEST_MEAN_WEIGHT = 0.1
 """Weight of the newest request in the mean size of a budget's requests."""
-_PARTS_REMEMBERED = 20_000
+_MAX_REMEMBERED_PARTS = 20_000
 """Ended parts remembered, to know a late or repeated message by."""
 
 
@@ -37,7 +37,7 @@
   """The life (`name:epoch`) of the router that holds it."""
 
 
-class Promise(NamedTuple):
+class IssuedCeiling(NamedTuple):
   """A ceiling that the ledger holds, or may hold, for a row."""
 
   ceiling: ceilings_lib.Ceiling
@@ -54,12 +54,12 @@
   budget: str
   gid: str
   granted: int
-  taken_at: float
+  acquired_at: float
   source: str = ""
   """The life of the router it is a part from; empty: the KV's ledger."""
   source_gid: str = ""
   """That router's grant, to settle in the ledger when it has gone."""
-  own: int = 0
+  own_drawn: int = 0
   """Tokens reserved by own requests in flight plus those they used."""
   used: int = 0
   """Tokens that own requests which have ended used."""
@@ -68,25 +68,25 @@
   parts_used: dict[str, int] = dataclasses.field(default_factory=dict)
   lost_parts: dict[str, int] = dataclasses.field(default_factory=dict)
   """Tokens of parts whose holder has gone; it may yet come back."""
-  handed_on: int = 0
+  delegated: int = 0
   """Tokens of open and lost parts plus those that ended parts used."""
   retiring: bool = False
-  orphaned: bool = False
+  settled_in_ledger: bool = False
   """Whether it is a part that was settled in the ledger."""
-  promises: list[Promise] = dataclasses.field(default_factory=list)
+  issued_ceilings: list[IssuedCeiling] = dataclasses.field(default_factory=list)
   """Ceilings that may be in force: the one that the ledger was last seen
   with, and later ones whose fate is not known yet."""
   ceiling: float = math.inf
   """Tokens that may be in use by these promises, as of the last look."""
-  drawn_at: float = -math.inf
+  last_drawn_at: float = -math.inf
   """When it was last drawn on, as of the last tick."""
-  drawn_before: int = 0
+  last_drawn: int = 0
   """Tokens in use at the last tick."""
 
   @property
   def drawn(self) -> int:
     """Tokens in use: reserved, used or handed on."""
-    return self.own + self.handed_on
+    return self.own_drawn + self.delegated
 
   @property
   def undrawn(self) -> int:
@@ -98,7 +98,7 @@
     """Tokens that may be set aside now."""
     return int(min(self.granted, self.ceiling)) - self.drawn
 
-  def look(self, now: float, renewed_at: float) -> None:
+  def update_ceiling(self, now: float, renewed_at: float) -> None:
     """Takes note of what the promises allow by now.
 
     All that may be in force must be kept: a report whose answer was lost
@@ -106,14 +106,15 @@
     issue or the last renewal.
     """
     allowed = (
-        p.ceiling.after(now - max(p.at, renewed_at)) for p in self.promises
+        p.ceiling.allowed_after(now - max(p.at, renewed_at))
+        for p in self.issued_ceilings
     )
     self.ceiling = min(allowed, default=math.inf)
 
   @property
-  def keeps_promises(self) -> bool:
+  def within_issued_ceilings(self) -> bool:
     """Whether no more is in use than promises allowed when they were made."""
-    return all(self.drawn <= p.ceiling.tokens for p in self.promises)
+    return all(self.drawn <= p.ceiling.tokens for p in self.issued_ceilings)
 
   @property
   def unconsumed(self) -> int:
@@ -134,7 +135,7 @@
   tokens: int
 
 
-class LeftOut(NamedTuple):
+class OutstandingPart(NamedTuple):
   """A part that another router still held when this one stopped."""
 
   budget: str
@@ -167,32 +168,32 @@
     """Budget name to its rows' gids, oldest first."""
     self.rate: dict[str, float] = {}
     """Budget name to tokens drawn per second here (moving average)."""
-    self.request: dict[str, float] = {}
+    self.mean_request: dict[str, float] = {}
     """Budget name to tokens that a request here reserves (moving average)."""
-    self._averaged_s: dict[str, float] = {}
+    self._averaging_window_s: dict[str, float] = {}
     """Seconds that each rate is averaged over, by weight."""
-    self._drawn: dict[str, int] = {}
+    self._drawn_since_tick: dict[str, int] = {}
     self._part_row: dict[str, str] = {}
     self._ended_parts: dict[str, None] = {}
     self.renewed_at = -math.inf
     """When all promises were last renewed, as far as may be in force."""
-    self.left_out: dict[str, LeftOut] = {}
+    self.outstanding_parts: dict[str, OutstandingPart] = {}
     """Parts still with others when this router stopped."""
-    self._lost_with_row: dict[str, str] = {}
+    self._written_off_parts: dict[str, str] = {}
     """Parts written off with a row that is settled, and their budgets."""
 
   def new_gid(self) -> str:
     """Returns a grant id unique to this router's life."""
     return f"{self._life}:{next(self._ids)}"
 
-  def want(self, budget: str, tokens: int) -> int:
+  def grant_size(self, budget: str, tokens: int) -> int:
     """Returns the grant size to ask for: the horizon's draw, at least."""
     rate = self.rate.get(budget, 0.0)
     return max(
         self._config.min_tokens, tokens, int(rate * self._config.horizon_s)
     )
 
-  def want_part(self, budget: str, tokens: int) -> int:
+  def part_size(self, budget: str, tokens: int) -> int:
     """Returns the size to ask an owner for.
 
     Without a floor, unlike a grant: another ask costs a millisecond, and
@@ -202,10 +203,10 @@
     rate = self.rate.get(budget, 0.0)
     return max(tokens, int(rate * self._config.part_horizon_s))
 
-  def look(self, budget: str, now: float) -> None:
+  def update_ceiling(self, budget: str, now: float) -> None:
     """Takes note of what promises allow of the budget's rows by now."""
     for gid in self.by_budget.get(budget, ()):
-      self.rows[gid].look(now, self.renewed_at)
+      self.rows[gid].update_ceiling(now, self.renewed_at)
 
   def free(self, budget: str) -> int:
     """Returns the budget's free tokens in live rows here."""
@@ -234,82 +235,88 @@
     """
     rows = [self.rows[gid] for gid in self.by_budget.get(budget, ())]
     owned = any(not row.source for row in rows)
-    size = self.want(budget, 0) if owned else self.want_part(budget, 0)
+    size = self.grant_size(budget, 0) if owned else self.part_size(budget, 0)
     undrawn = sum(row.undrawn for row in rows if not row.retiring)
     return undrawn < size * self._config.low_mark
 
   def nears_ceiling(self, budget: str) -> bool:
     """Whether the budget's grant is about to be stopped by its promise."""
-    row = self.growing(budget)
+    row = self.growable_row(budget)
     if row is None or row.ceiling >= row.granted:
       return False
-    last = row.promises[-1]
+    last = row.issued_ceilings[-1]
     slack = last.ceiling.tokens - row.drawn
-    return slack < last.slack * _SLACK_LOW
+    return slack < last.slack * _LOW_SLACK_FRACTION
 
   @property
-  def has_promised(self) -> bool:
+  def has_issued_ceilings(self) -> bool:
     """Whether any promise may be in force."""
-    return any(row.promises for row in self.rows.values())
+    return any(row.issued_ceilings for row in self.rows.values())
 
-  def keeps_promises(self) -> bool:
+  def within_issued_ceilings(self) -> bool:
     """Whether no more is in use than promises allowed when they were made."""
-    return all(row.keeps_promises for row in self.rows.values())
+    return all(row.within_issued_ceilings for row in self.rows.values())
 
-  def renew(self, now: float) -> None:
+  def renew_ceilings(self, now: float) -> None:
     """Has all promises count from `now`."""
     self.renewed_at = now
     for row in self.rows.values():
-      row.look(now, now)
+      row.update_ceiling(now, now)
 
-  def issue(self, gid: str, ceiling: ceilings_lib.Ceiling, now: float) -> None:
+  def add_ceiling(
+      self, gid: str, ceiling: ceilings_lib.Ceiling, now: float
+  ) -> None:
     """Notes a promise that is about to be sent."""
     row = self.rows.get(gid)
     if row is not None:
       slack = ceiling.tokens - row.drawn
-      row.promises.append(Promise(ceiling, now, slack))
-      row.look(now, self.renewed_at)
+      row.issued_ceilings.append(IssuedCeiling(ceiling, now, slack))
+      row.update_ceiling(now, self.renewed_at)
 
-  def withdraw(
+  def withdraw_ceiling(
       self, gid: str, ceiling: ceilings_lib.Ceiling, now: float
   ) -> None:
     """Forgets a promise that was not written."""
     row = self.rows.get(gid)
     if row is not None:
-      row.promises = [p for p in row.promises if p.ceiling != ceiling]
-      row.look(now, self.renewed_at)
+      row.issued_ceilings = [
+          p for p in row.issued_ceilings if p.ceiling != ceiling
+      ]
+      row.update_ceiling(now, self.renewed_at)
 
-  def confirm(
+  def confirm_ceiling(
       self, gid: str, ceiling: ceilings_lib.Ceiling, now: float
   ) -> None:
     """Notes which promise a ledger was seen with; earlier ones are over."""
     row = self.rows.get(gid)
     if row is None:
       return
-    later = [p for p in row.promises if p.ceiling.issued >= ceiling.issued]
+    later = [
+        p for p in row.issued_ceilings if p.ceiling.issued >= ceiling.issued
+    ]
     if any(p.ceiling == ceiling for p in later):
       while later[0].ceiling != ceiling:
         del later[0]  # issued in the same moment, before it
-    row.promises = later
-    row.look(now, self.renewed_at)
+    row.issued_ceilings = later
+    row.update_ceiling(now, self.renewed_at)
 
   def reserve(self, budget: str, tokens: int) -> Reservation | None:
     """Sets `tokens` aside from a row of the budget that has room."""
-    row = self._roomy(budget, tokens)
+    row = self._find_row(budget, tokens)
     if row is None:
       return None
-    row.own += tokens
+    row.own_drawn += tokens
     row.in_flight += 1
     self._note_draw(budget, tokens)
-    mean = self.request.get(budget, tokens)
-    self.request[budget] = mean + _REQUEST_WEIGHT * (tokens - mean)
+    mean = self.mean_request.get(budget, tokens)
+    self.mean_request[budget] = mean + _REQUEST_MEAN_WEIGHT * (tokens - mean)
     return Reservation(budget, row.gid, tokens)
 
-  def has_room(self, budget: str, tokens: int) -> bool:
+  def can_reserve(self, budget: str, tokens: int) -> bool:
     """Whether a row of the budget could take a reservation of `tokens`."""
-    return self._roomy(budget, tokens) is not None
+    return self._find_row(budget, tokens) is not None
 
-  def _roomy(
+  def _find_row(
       self, budget: str, tokens: int, granted_only: bool = False
   ) -> Row | None:
     for gid in self.by_budget.get(budget, ()):
@@ -321,7 +328,9 @@
     return None
 
   def _note_draw(self, budget: str, tokens: int) -> None:
-    self._drawn[budget] = self._drawn.get(budget, 0) + tokens
+    self._drawn_since_tick[budget] = (
+        self._drawn_since_tick.get(budget, 0) + tokens
+    )
 
   def settle(self, reservation: Reservation, used: int) -> Settled:
     """Ends a reservation and bills what was used of it, all of it.
@@ -331,7 +340,7 @@
     seen. Policies that weigh overspend keep a margin for it.
     """
     row = self.rows[reservation.gid]
-    row.own += used - reservation.tokens
+    row.own_drawn += used - reservation.tokens
     row.used += used
     row.in_flight -= 1
     self._note_draw(reservation.budget, used - reservation.tokens)
@@ -351,11 +360,11 @@
       if self.rows[old].idle:
         self.rows[old].retiring = True
     self.rows[gid] = Row(
-        budget, gid, granted, now, source, source_gid, drawn_at=now
+        budget, gid, granted, now, source, source_gid, last_drawn_at=now
     )
     self.by_budget.setdefault(budget, []).append(gid)
 
-  def growing(self, budget: str) -> Row | None:
+  def growable_row(self, budget: str) -> Row | None:
     """Returns the row of the budget that further grants go to, if any."""
     for gid in reversed(self.by_budget.get(budget, ())):
       row = self.rows[gid]
@@ -372,9 +381,9 @@
     row = self.rows.get(gid)
     if row is not None and granted > row.granted:
       row.granted = granted
-      row.taken_at = now
+      row.acquired_at = now
 
-  def hand_on(
+  def delegate(
       self, budget: str, part: str, least: int, want: int, share: float
   ) -> tuple[int, str]:
     """Hands a part of a row on to another router.
@@ -389,17 +398,17 @@
       row = self.rows[self._part_row[part]]
       held = row.parts.get(part)
       return (held.tokens, row.gid) if held is not None else (0, "")
-    row = self._roomy(budget, least, granted_only=True)
+    row = self._find_row(budget, least, granted_only=True)
     if row is None or part in self._ended_parts:
       return 0, ""
     size = min(want, max(least, int(row.free * share)))
     row.parts[part] = Part(size, part.rpartition(":")[0])
-    row.handed_on += size
+    row.delegated += size
     self._part_row[part] = row.gid
     self._note_draw(budget, size)
     return size, row.gid
 
-  def take_back(self, part: str, used: int) -> str | None:
+  def settle_delegated(self, part: str, used: int) -> str | None:
     """Ends a part; `used` of its tokens are billed, the rest is free.
 
     Returns:
@@ -407,15 +416,15 @@
       the part is then to be settled in the ledger; else None.
     """
     self._ended_parts[part] = None
-    if len(self._ended_parts) > _PARTS_REMEMBERED:
+    if len(self._ended_parts) > _MAX_REMEMBERED_PARTS:
       del self._ended_parts[next(iter(self._ended_parts))]
     row = self.rows.get(self._part_row.pop(part, ""))
     if row is None:
-      return self._lost_with_row.pop(part, None)
+      return self._written_off_parts.pop(part, None)
     ended = row.parts.pop(part, None)
     tokens = ended.tokens if ended is not None else row.lost_parts.pop(part)
     row.parts_used[part] = used
-    row.handed_on += used - tokens
+    row.delegated += used - tokens
     self._note_draw(row.budget, used - tokens)
     return None
 
@@ -450,12 +459,12 @@
       self.rows[gid].retiring = True
     return [self._remove(gid) for gid in gids if self.rows[gid].idle]
 
-  def end_part(self, gid: str, now: float) -> Row | None:
+  def pop_due_part(self, gid: str, now: float) -> Row | None:
     """Removes and returns a part that is due and has nothing in flight."""
     row = self.rows[gid]
     if not row.source or not row.idle:
       return None
-    if not row.retiring and now - row.taken_at < self._config.part_term_s:
+    if not row.retiring and now - row.acquired_at < self._config.part_term_s:
       return None
     return self._remove(gid)
 
@@ -463,9 +472,9 @@
     row = self.rows.pop(gid)
     for part in row.lost_parts:
       self._part_row.pop(part)
-      self._lost_with_row[part] = row.budget
-      if len(self._lost_with_row) > _PARTS_REMEMBERED:
-        del self._lost_with_row[next(iter(self._lost_with_row))]
+      self._written_off_parts[part] = row.budget
+      if len(self._written_off_parts) > _MAX_REMEMBERED_PARTS:
+        del self._written_off_parts[next(iter(self._written_off_parts))]
     gids = self.by_budget[row.budget]
     gids.remove(gid)
     if not gids:
@@ -480,11 +489,11 @@
     """
     self._update_rates(elapsed_s)
     for row in self.rows.values():
-      row.look(now, self.renewed_at)
-      if row.drawn != row.drawn_before or row.in_flight:
-        row.drawn_at, row.drawn_before = now, row.drawn
+      row.update_ceiling(now, self.renewed_at)
+      if row.drawn != row.last_drawn or row.in_flight:
+        row.last_drawn_at, row.last_drawn = now, row.drawn
       term_s = self._config.part_term_s if row.source else self._config.term_s
-      if now - row.taken_at >= term_s:
+      if now - row.acquired_at >= term_s:
         row.retiring = True
     finished = [r.gid for r in self.rows.values() if r.retiring and r.idle]
     return [self._remove(gid) for gid in finished]
@@ -496,18 +505,20 @@
     quiet for a moment before, else one request would make a high rate.
     """
     kept = math.exp(-elapsed_s / self._config.rate_s)
-    for budget in set(self.rate) | set(self._drawn):
-      before_s = self._averaged_s.get(budget, self._config.rate_s * _QUIET_PART)
+    for budget in set(self.rate) | set(self._drawn_since_tick):
+      before_s = self._averaging_window_s.get(
+          budget, self._config.rate_s * _INITIAL_QUIET_FRACTION
+      )
       averaged_s = before_s * kept + elapsed_s
       drawn = self.rate.get(budget, 0.0) * before_s * kept
-      drawn += self._drawn.pop(budget, 0)
+      drawn += self._drawn_since_tick.pop(budget, 0)
       rate = drawn / averaged_s
-      if rate < _RATE_FLOOR and budget not in self.by_budget:
-        for table in (self.rate, self.request, self._averaged_s):
+      if rate < _MIN_RATE_TOKENS_S and budget not in self.by_budget:
+        for table in (self.rate, self.mean_request, self._averaging_window_s):
           table.pop(budget, None)
       else:
         self.rate[budget] = rate
-        self._averaged_s[budget] = averaged_s
+        self._averaging_window_s[budget] = averaged_s
 
   def clear(self) -> list[Row]:
     """Removes and returns every row, for a graceful stop."""
@@ -515,5 +526,7 @@
     for row in rows:
       for part, held in row.parts.items():
         del self._part_row[part]
-        self.left_out[part] = LeftOut(row.budget, row.gid, held.tokens)
+        self.outstanding_parts[part] = OutstandingPart(
+            row.budget, row.gid, held.tokens
+        )
     return rows
--- a/mustardfall/budget/budget_view.py
+++ b/mustardfall/budget/budget_view.py
@@ -36,10 +36,10 @@
   """Parts of this router's grants that others hold."""
 
 
-_EXHAUSTED_S = 0.5
+_INITIAL_EXHAUSTED_S = 0.5
 """How long a budget that was found used up is believed to be, at first; twice
 as long each time it is found so again, since each look costs a call."""
-_MOST_EXHAUSTED_S = 4.0
+_MAX_EXHAUSTED_S = 4.0
 """But no longer than this. A raised limit, or tokens that come free here, are
 noticed at once."""
 
@@ -50,7 +50,7 @@
   tokens: int
   """It could not give so many."""
   until: float
-  span_s: float
+  duration_s: float
   limit_version: int
 
 
@@ -93,7 +93,7 @@
     self._exhausted: dict[str, _Exhausted] = {}
     """Budgets found used up."""
 
-  def note(self, budget: str, found: ledger.Ledger) -> None:
+  def update(self, budget: str, found: ledger.Ledger) -> None:
     """Notes what a ledger was seen with."""
     self.ledgers[budget] = found
     self._seen_at[budget] = self._clock.monotonic()
@@ -117,7 +117,7 @@
         seen_s=round(self._clock.monotonic() - self._seen_at[budget], 3),
         idle=sum(row.undrawn for row in live),
         drawable=sum(max(0, row.free) for row in live),
-        reserved=sum(row.own - row.used for row in rows),
+        reserved=sum(row.own_drawn - row.used for row in rows),
         handed_on=sum(p.tokens for row in rows for p in row.parts.values()),
     )
 
@@ -128,7 +128,7 @@
     owner = self._members.owner(budget)
     return None if owner.life == self._members.me.life else owner
 
-  def asked_first(self, budget: str) -> list[members_lib.Member]:
+  def preferred_sources(self, budget: str) -> list[members_lib.Member]:
     """Returns the other routers to ask in turn before the KV.
 
     The owner; in a large fleet its deputies, too, as far as they lately gave
@@ -143,7 +143,7 @@
     deputies = self.deputies(budget)
     return [m for m in deputies if not self._members.is_suspected(m.life)]
 
-  def own(self) -> Iterable[str]:
+  def owned_budgets(self) -> Iterable[str]:
     """Returns the configured budgets that this router takes grants of."""
     return (name for name in self._budgets() if self.owner(name) is None)
 
@@ -175,15 +175,17 @@
     """Notes that the budget cannot cover `tokens`, whatever comes back."""
     now = self._clock.monotonic()
     before = self._exhausted.get(budget)
-    span_s = _EXHAUSTED_S
-    if before is not None and now < before.until + before.span_s:
-      span_s = min(_MOST_EXHAUSTED_S, 2 * before.span_s)
+    duration_s = _INITIAL_EXHAUSTED_S
+    if before is not None and now < before.until + before.duration_s:
+      duration_s = min(_MAX_EXHAUSTED_S, 2 * before.duration_s)
       if now < before.until:
         tokens = min(tokens, before.tokens)
     version = self._limit_version(budget)
-    self._exhausted[budget] = _Exhausted(tokens, now + span_s, span_s, version)
+    self._exhausted[budget] = _Exhausted(
+        tokens, now + duration_s, duration_s, version
+    )
 
-  def most_left(self, budget: str, margin: float) -> int | None:
+  def max_available(self, budget: str, margin: float) -> int | None:
     """Returns the most tokens that the budget could still give, if known."""
     found = self.ledgers.get(budget)
     if found is None:
@@ -200,17 +202,21 @@
         left += tokens  # not reviewed yet
     return left
 
-  def view(self, budget: str, limit: ledger.Limit) -> holding.View:
+  def sizing_input(
+      self, budget: str, limit: ledger.Limit
+  ) -> holding.SizingInput:
     """Returns what decisions about a budget's holdings are taken on."""
     found = self.ledgers.get(budget)
-    return holding.View(
+    return holding.SizingInput(
         limit=limit.tokens,
         free=None if found is None else max(0, ledger.headroom(found)),
         held=self._table.at_risk(budget),
         rate=self._table.rate.get(budget, 0.0),
         others_rate=0.0 if found is None else self._others_rate(found),
-        request=self._table.request.get(budget, self._config.request_tokens),
-        holders=self._holders(),
+        mean_request=self._table.mean_request.get(
+            budget, self._config.request_tokens
+        ),
+        holders=self._holder_count(),
     )
 
   def target(self, budget: str) -> int | None:
@@ -223,7 +229,7 @@
       return None
     found = self._targets.get(budget)
     if found is None:
-      found = holding.target(self.view(budget, limit), self._config)
+      found = holding.target(self.sizing_input(budget, limit), self._config)
       self._targets[budget] = found
     return found
 
@@ -231,7 +237,7 @@
     """Has what to hold worked out anew: rates have changed."""
     self._targets.clear()
 
-  def _holders(self) -> int:
+  def _holder_count(self) -> int:
     """Returns how many routers shall hold grants of a budget: its owners."""
     if self._config.owned:
       return self._members.regions
@@ -245,18 +251,18 @@
     """
     rates: dict[str, ceilings.Ceiling] = {}
     for gid in found.get("ceilings", {}):
-      life, promise = ledger.holder(gid), ledger.ceiling(found, gid)
-      known = rates.get(life)
-      if known is None or promise.issued > known.issued:
-        rates[life] = promise
+      life, last_ceiling = ledger.holder(gid), ledger.ceiling(found, gid)
+      newest = rates.get(life)
+      if newest is None or last_ceiling.issued > newest.issued:
+        rates[life] = last_ceiling
     me = self._members.me.life
-    up = self._members.lives
+    live = self._members.lives
     drawn = sum(
-        p.rate for life, p in rates.items() if life in up and life != me
+        p.rate for life, p in rates.items() if life in live and life != me
     )
     return drawn / max(self._config.ceiling_rate, 1e-9)
 
-  def forget(self, before: float) -> None:
+  def prune(self, before: float) -> None:
     """Drops what was noted of budgets that are quiet since `before`."""
     for budget, found in list(self._exhausted.items()):
       if found.until < before:
--- a/mustardfall/budget/ceilings.py
+++ b/mustardfall/budget/ceilings.py
@@ -16,11 +16,11 @@
 
 from mustardfall.util import clock as clock_lib
 
-_SAME_BOOT_S = 0.25
+_SAME_BOOT_TOLERANCE_S = 0.25
 """How closely the boot clock and the wall clock must agree on the time
 between two moments for both to be taken to be of one boot. A boot clock
 starts anew when its host loses power, and then agrees only by chance."""
-_WALL_ERROR_S = 5.0
+_DEFAULT_WALL_ERROR_S = 5.0
 """How far a wall clock is trusted that was not compared: steps of 2.4 to
 3.1 s are known, either way, and one may come between two readings."""
 
@@ -38,7 +38,7 @@
   rate: float
   issued: clock_lib.Moment
 
-  def after(self, elapsed_s: float) -> int:
+  def allowed_after(self, elapsed_s: float) -> int:
     """Returns the most in use `elapsed_s` seconds after the promise."""
     beyond_s = max(0.0, elapsed_s - self.grace_s)
     return self.tokens + int(self.rate * beyond_s)
@@ -55,7 +55,7 @@
   return Ceiling(tokens, grace_s, rate, clock_lib.Moment(*issued))
 
 
-def most_elapsed_s(
+def max_elapsed_s(
     issued: clock_lib.Moment, started: clock_lib.Moment
 ) -> float | None:
   """Returns the most seconds from one moment to a later one, on one host.
@@ -72,9 +72,9 @@
   """
   boot_s = started.boot_s - issued.boot_s
   wall_s = started.wall_s - issued.wall_s
-  if boot_s >= 0 and abs(boot_s - wall_s) <= _SAME_BOOT_S:
-    return boot_s + _SAME_BOOT_S
-  error_s = _WALL_ERROR_S
+  if boot_s >= 0 and abs(boot_s - wall_s) <= _SAME_BOOT_TOLERANCE_S:
+    return boot_s + _SAME_BOOT_TOLERANCE_S
+  error_s = _DEFAULT_WALL_ERROR_S
   if issued.error_s is not None and started.error_s is not None:
     error_s = issued.error_s + started.error_s
   return None if wall_s + error_s < 0 else wall_s + error_s
--- a/mustardfall/budget/granting.py
+++ b/mustardfall/budget/granting.py
@@ -19,9 +19,9 @@
 
 logger = logging.getLogger(__name__)
 
-_LEAST_REFILL = 0.1
+_MIN_REFILL_FRACTION = 0.1
 """Part of what is to be held that a refill brings at least."""
-_NO_BUDGET = ledger.Ledger(
+_EMPTY_LEDGER = ledger.Ledger(
     limit=0, spent=0, grants={}, lost={}, lost_before=0, parts={}, ops=[]
 )
 """Stands for a budget that the KV does not hold."""
@@ -50,7 +50,7 @@
       members: members_lib.Members,
       budget_view: budget_view_lib.BudgetView,
       table: allotment.Table,
-      refusals: refusals_lib.Refusals,
+      refusals: refusals_lib.RefusalCache,
       settler: settling.Settler,
       writer: writer_lib.Writer,
       vouch: Callable[[clock_lib.Moment], clock_lib.Moment],
@@ -66,7 +66,7 @@
     self._writer = writer
     self._vouch = vouch
     self._counts = counts
-    self.asking: set[str] = set()
+    self.pending_gids: set[str] = set()
     """Grants asked of the KV whose answer is still out."""
 
   async def raise_ceiling(self, budget: str, least: int) -> bool | None:
@@ -75,26 +75,26 @@
     Returns:
       Whether the KV answered; None: this grant has not so many left.
     """
-    row = self._table.growing(budget)
-    if row is None or not row.promises or row.undrawn < least:
+    row = self._table.growable_row(budget)
+    if row is None or not row.issued_ceilings or row.undrawn < least:
       return None
-    ceiling = self.promise(budget, row, least)
+    ceiling = self.issue_ceiling(budget, row, least)
     if ceiling is None:
       return None
-    self.asking.add(row.gid)
+    self.pending_gids.add(row.gid)
     try:
       await self._settler.report_now(row, ceiling)
     except errors.KvUnavailableError:
-      self._table.withdraw(row.gid, ceiling, self._clock.monotonic())
+      self._table.withdraw_ceiling(row.gid, ceiling, self._clock.monotonic())
       return False
     except errors.KvUnknownError:
       return False
     finally:
-      self.asking.discard(row.gid)
+      self.pending_gids.discard(row.gid)
     self._counts["ceilings_raised"] += 1
     return True
 
-  def promise(
+  def issue_ceiling(
       self, budget: str, row: allotment.Row | None, least: int
   ) -> ceilings_lib.Ceiling | None:
     """Returns a new promise for a row, noted there as sent."""
@@ -104,9 +104,9 @@
     drawn = 0 if row is None else row.drawn
     slack, rate = least, 0.0  # nothing more draws on a retired row
     if row is None or not row.retiring:
-      view = self._budget_view.view(budget, limit)
-      slack = max(least, holding.slack(view, self._config))
-      rate = holding.growth(view, self._config)
+      sizing = self._budget_view.sizing_input(budget, limit)
+      slack = max(least, holding.slack(sizing, self._config))
+      rate = holding.ceiling_growth(sizing, self._config)
     ceiling = ceilings_lib.Ceiling(
         tokens=drawn + slack,
         grace_s=self._config.ceiling_grace_s,
@@ -114,17 +114,17 @@
         issued=self._vouch(self._clock.moment()),
     )
     if row is not None:
-      self._table.issue(row.gid, ceiling, self._clock.monotonic())
+      self._table.add_ceiling(row.gid, ceiling, self._clock.monotonic())
     return ceiling
 
-  def report_use(self) -> None:
+  def report_usage(self) -> None:
     """Reports what grants have used, with a promise each."""
     for row in self._table.rows.values():
       # Not while a higher promise is on its way: this one would be the
       # later, take the place of that one in the ledger, and have the
       # request refused for which that one was made.
-      if row.gid not in self.asking and self._settler.owes_report(row):
-        self._settler.report(row, self.promise(row.budget, row, 0))
+      if row.gid not in self.pending_gids and self._settler.needs_report(row):
+        self._settler.report(row, self.issue_ceiling(row.budget, row, 0))
 
   def _share(self) -> float:
     """Returns the part of a budget's headroom that a grant may take.
@@ -137,7 +137,7 @@
       return 1.0 / self._members.regions
     return 1.0
 
-  def is_worth_a_refill(self, budget: str) -> bool:
+  def is_refill_worthwhile(self, budget: str) -> bool:
     """Whether a refill would bring enough to be worth a call to the KV.
 
     A budget runs low here while requests in flight have most of what is held
@@ -146,9 +146,9 @@
     limit = self._budget_view.limit_of(budget)
     if limit is None:
       return True
-    view = self._budget_view.view(budget, limit)
-    target = holding.target(view, self._config)
-    return target - view.held >= target * _LEAST_REFILL
+    sizing = self._budget_view.sizing_input(budget, limit)
+    target = holding.target(sizing, self._config)
+    return target - sizing.held >= target * _MIN_REFILL_FRACTION
 
   async def grant(
       self,
@@ -156,31 +156,31 @@
       least: int,
       want: int,
       margin: float,
-      owns: bool = True,
+      as_owner: bool = True,
   ) -> ledger.Ledger | None:
     """Asks the KV for one grant; None when the KV gave no answer."""
     limit = self._budget_view.limit_of(budget)
     share = self._share()
-    if owns and limit is not None:
-      view = self._budget_view.view(budget, limit)
-      want = max(least, holding.target(view, self._config) - view.held)
-      if view.free is None:
+    if as_owner and limit is not None:
+      sizing = self._budget_view.sizing_input(budget, limit)
+      want = max(least, holding.target(sizing, self._config) - sizing.held)
+      if sizing.free is None:
         # Of a ledger that was not seen yet most may be gone; the share is
         # taken of what is left when the grant is written.
-        share = holding.equal_share(view, self._config)
-    row = self._table.growing(budget)
+        share = holding.equal_share(sizing, self._config)
+    row = self._table.growable_row(budget)
     base = row.granted if row is not None else 0
     gid = row.gid if row is not None else self._table.new_gid()
     asked_at = self._clock.monotonic()
-    ceiling = self.promise(budget, row, least)
+    ceiling = self.issue_ceiling(budget, row, least)
     change = ledger.Grant(gid, least, want, share, margin, limit, base, ceiling)
-    self.asking.add(gid)
+    self.pending_gids.add(gid)
     try:
       after = await self._writer.submit(ledger.key(budget), change)
     except errors.KvUnavailableError:
       self._counts["grant_failures"] += 1
       if ceiling is not None:
-        self._table.withdraw(gid, ceiling, self._clock.monotonic())
+        self._table.withdraw_ceiling(gid, ceiling, self._clock.monotonic())
       return None
     except errors.KvUnknownError:
       self._counts["grant_failures"] += 1
@@ -191,18 +191,18 @@
         self._settler.settle_row(allotment.Row(budget, gid, 0, 0.0))
       return None
     finally:
-      self.asking.discard(gid)
+      self.pending_gids.discard(gid)
     if after is None:
-      return _NO_BUDGET
+      return _EMPTY_LEDGER
     granted = ledger.granted(after, gid)
     _log_grant(budget, change, granted, after)
     if granted > base:
-      self._note_grant(budget, gid, granted, new=row is None)
+      self._record_grant(budget, gid, granted, new=row is None)
     if ceiling is not None:
-      self._note_promise(gid, after, ceiling, asked_at, new=row is None)
+      self._record_ceiling(gid, after, ceiling, asked_at, new=row is None)
     return after
 
-  def _note_promise(
+  def _record_ceiling(
       self,
       gid: str,
       after: ledger.Ledger,
@@ -212,13 +212,15 @@
   ) -> None:
     """Notes what became of a promise that went with a grant."""
     now = self._clock.monotonic()
-    stands = ledger.ceiling(after, gid)
-    if stands is None or stands.issued < ceiling.issued:
-      self._table.withdraw(gid, ceiling, now)
+    stored = ledger.ceiling(after, gid)
+    if stored is None or stored.issued < ceiling.issued:
+      self._table.withdraw_ceiling(gid, ceiling, now)
     elif new:
-      self._table.issue(gid, ceiling, asked_at)
+      self._table.add_ceiling(gid, ceiling, asked_at)
 
-  def _note_grant(self, budget: str, gid: str, granted: int, new: bool) -> None:
+  def _record_grant(
+      self, budget: str, gid: str, granted: int, new: bool
+  ) -> None:
     self._counts["grants"] += 1
     now = self._clock.monotonic()
     if new:
@@ -227,7 +229,7 @@
       # A row that was settled meanwhile stays so: its settlement, in the
       # same batch or a later one, gives the growth back with the rest.
       self._table.grow(gid, granted, now)
-    self._refusals.end(budget)
+    self._refusals.remove(budget)
 
 
 def _log_grant(
--- a/mustardfall/budget/holding.py
+++ b/mustardfall/budget/holding.py
@@ -10,13 +10,13 @@
 from mustardfall import settings
 from mustardfall.membership import members as members_lib
 
-_LEAST_RATE = 0.003
+_MIN_CEILING_GROWTH = 0.003
 """Part of a budget's limit that a holder out of touch may draw a second at
 least. Small: a budget that has been quiet reports seldom, and all that its
 holder might have drawn since is lost with it."""
 
 
-class View(NamedTuple):
+class SizingInput(NamedTuple):
   """What a holder knows of one budget when it decides."""
 
   limit: int
@@ -29,13 +29,13 @@
   """Tokens drawn here a second, lately."""
   others_rate: float
   """Tokens that other holders draw a second, by their promises."""
-  request: float
+  mean_request: float
   """Tokens of a request here, in the mean."""
   holders: int
   """Routers that shall hold grants of it."""
 
 
-def target(view: View, config: settings.Allotment) -> int:
+def target(sizing: SizingInput, config: settings.Allotment) -> int:
   """Returns how many tokens to hold.
 
   A holder wants what it draws in an outage of the store, or an equal part of
@@ -43,18 +43,25 @@
   takes no more than its part of what is left: by its part of the draw, or
   an equal one where that is more.
   """
-  left = view.held + (view.limit if view.free is None else view.free)
-  bridge = view.rate * config.horizon_s + view.request * config.requests_held
-  wanted = max(bridge, left * equal_share(view, config))
-  return int(min(wanted, left * config.headroom_share * _share(view)))
-
-
-def equal_share(view: View, config: settings.Allotment) -> float:
+  available = sizing.held + (
+      sizing.limit if sizing.free is None else sizing.free
+  )
+  outage_draw = (
+      sizing.rate * config.horizon_s
+      + sizing.mean_request * config.requests_held
+  )
+  wanted = max(outage_draw, available * equal_share(sizing, config))
+  return int(
+      min(wanted, available * config.headroom_share * _own_share(sizing))
+  )
+
+
+def equal_share(sizing: SizingInput, config: settings.Allotment) -> float:
   """Returns the part of what is left that each router holds at least."""
-  return config.share_held / max(view.holders, 1)
+  return config.share_held / max(sizing.holders, 1)
 
 
-def slack(view: View, config: settings.Allotment) -> int:
+def slack(sizing: SizingInput, config: settings.Allotment) -> int:
   """Returns how many tokens a holder may draw until it reports again.
 
   Enough for the draw between two reports and for a cut's first seconds. All
@@ -62,27 +69,31 @@
   later. So what holders risk together falls with the square of what is left:
   an early cut refuses few, a death near the end loses little.
   """
-  usual = view.rate * config.slack_s + view.request * config.requests_slack
-  free = view.limit if view.free is None else view.free
-  left = free + view.held
-  risked = left * config.slack_left * left / max(view.limit, 1)
-  return int(min(usual, risked * _share(view)))
-
-
-def growth(view: View, config: settings.Allotment) -> float:
+  expected = (
+      sizing.rate * config.slack_s + sizing.mean_request * config.requests_slack
+  )
+  free = sizing.limit if sizing.free is None else sizing.free
+  available = free + sizing.held
+  acceptable_loss = (
+      available * config.slack_left * available / max(sizing.limit, 1)
+  )
+  return int(min(expected, acceptable_loss * _own_share(sizing)))
+
+
+def ceiling_growth(sizing: SizingInput, config: settings.Allotment) -> float:
   """Returns how many tokens a second more a holder out of touch may draw."""
-  rate = max(view.rate, view.limit * _LEAST_RATE)
+  rate = max(sizing.rate, sizing.limit * _MIN_CEILING_GROWTH)
   return round(rate * config.ceiling_rate, 1)
 
 
-def _share(view: View) -> float:
+def _own_share(sizing: SizingInput) -> float:
   """Returns the part of a budget that is this holder's to use."""
-  equal = 1.0 / max(view.holders, 1)
-  drawn = view.rate + view.others_rate
-  return max(equal, view.rate / drawn) if drawn else equal
+  equal = 1.0 / max(sizing.holders, 1)
+  drawn = sizing.rate + sizing.others_rate
+  return max(equal, sizing.rate / drawn) if drawn else equal
 
 
-def report_s(config: settings.Allotment, routers: int) -> float:
+def report_interval_s(config: settings.Allotment, routers: int) -> float:
   """Returns the time between two reports of a router, seconds.
 
   Longer in a larger fleet. Each report changes the ledgers of all budgets that
--- a/mustardfall/budget/ledger.py
+++ b/mustardfall/budget/ledger.py
@@ -36,14 +36,14 @@
 from mustardfall.util import clock as clock_lib
 
 PREFIX = "budget/"
-_OPS_KEPT = 64
+_MAX_OPS = 64
 """Recent op ids kept per budget, to answer a retried top-up."""
-_LOST_KEPT = 64
+_MAX_LOST_GRANTS = 64
 """Written-off grants that can still be settled; older ones are summed."""
-_STOPPED = "/stopped"
+_STOPPED_MARK = "/stopped"
 """Mark among a grant's parts; it stays as long as the grant does, so that
 a late repeat of the holder's end is known, however many ops came since."""
-_ATTEMPTS = 8
+_MAX_CAS_ATTEMPTS = 8
 """Compare-and-swap attempts before a write is given up as unavailable."""
 
 
@@ -140,7 +140,7 @@
   lost: Mapping[str, int] = {}
 
 
-class Bill(NamedTuple):
+class ReportUse(NamedTuple):
   """Reports what was used of `gid` so far, while its holder goes on.
 
   What is reported moves from the grant to what is spent, so that less is
@@ -154,7 +154,7 @@
   ceiling: ceilings_lib.Ceiling | None = None
 
 
-class Reduce(NamedTuple):
+class Release(NamedTuple):
   """Ends a stopping holder's own use of `gid`.
 
   The holder exits while other routers still hold parts of its grant:
@@ -263,7 +263,7 @@
   )
 
 
-def _limited(ledger: Ledger | None, limit: Limit | None) -> Ledger | None:
+def _with_limit(ledger: Ledger | None, limit: Limit | None) -> Ledger | None:
   """Returns `ledger` under `limit`, created if there is none yet."""
   if limit is None:
     return ledger
@@ -276,7 +276,7 @@
 
 @change_lib.apply.register
 def _(change: Grant, ledger: Ledger | None) -> Ledger | None:
-  ledger = _limited(ledger, change.limit)
+  ledger = _with_limit(ledger, change.limit)
   if ledger is None or granted(ledger, change.gid) != change.base:
     return None
   free = headroom(ledger) - int(ledger["limit"] * change.margin)
@@ -285,7 +285,7 @@
     return None
   held = ledger["grants"].get(change.gid, 0) + size
   after = {**ledger, "grants": {**ledger["grants"], change.gid: held}}
-  return _promise(after, change)
+  return _with_ceiling(after, change)
 
 
 def granted(ledger: Ledger, gid: str) -> int:
@@ -296,9 +296,9 @@
   return _granted(ledger, "grants", gid) if gid in ledger["grants"] else 0
 
 
-def _granted(ledger: Ledger, place: str, gid: str) -> int:
+def _granted(ledger: Ledger, table: str, gid: str) -> int:
   settled_here = sum(ledger["parts"].get(gid, {}).values())
-  return ledger[place][gid] + settled_here + billed(ledger, gid)
+  return ledger[table][gid] + settled_here + billed(ledger, gid)
 
 
 def ceiling(ledger: Ledger, gid: str) -> ceilings_lib.Ceiling | None:
@@ -307,7 +307,7 @@
   return None if raw is None else ceilings_lib.decode(raw)
 
 
-def _promise(ledger: Ledger, change: Grant | Bill) -> Ledger:
+def _with_ceiling(ledger: Ledger, change: Grant | ReportUse) -> Ledger:
   """Returns `ledger` with a holder's promise, unless a later one is there.
 
   A report that waited for the KV may land after a later change of the same
@@ -323,7 +323,7 @@
   }
 
 
-def predecessors(ledger: Ledger, life: str) -> list[str]:
+def earlier_grants(ledger: Ledger, life: str) -> list[str]:
   """Returns the grants with a promise that earlier lives of `life` held."""
   name = life.rpartition(":")[0]
   return [
@@ -338,11 +338,11 @@
   return ledger.get("billed", {}).get(gid, 0)
 
 
-def _place(ledger: Ledger | None, gid: str) -> str | None:
+def _find_table(ledger: Ledger | None, gid: str) -> str | None:
   """Returns which table holds `gid`: "grants", "lost" or neither."""
-  for place in ("grants", "lost"):
-    if ledger is not None and gid in ledger[place]:
-      return place
+  for table in ("grants", "lost"):
+    if ledger is not None and gid in ledger[table]:
+      return table
   return None
 
 
@@ -351,65 +351,68 @@
 
 
 @change_lib.apply.register
-def _(change: Bill, ledger: Ledger | None) -> Ledger | None:
-  place = _place(ledger, change.gid)
-  if place is None or _has_stopped(ledger, change.gid):
+def _(change: ReportUse, ledger: Ledger | None) -> Ledger | None:
+  table = _find_table(ledger, change.gid)
+  if table is None or _has_stopped(ledger, change.gid):
     return None
-  used = _used(change, ledger)
-  more = used - billed(ledger, change.gid)
-  after = _promise(ledger, change)
-  if more <= 0:
+  used = _billable(change, ledger)
+  newly_used = used - billed(ledger, change.gid)
+  after = _with_ceiling(ledger, change)
+  if newly_used <= 0:
     return None if after is ledger else after
-  left = ledger[place][change.gid] - more
+  left = ledger[table][change.gid] - newly_used
   return {
       **after,
-      place: {**ledger[place], change.gid: left},
-      "spent": ledger["spent"] + more,
+      table: {**ledger[table], change.gid: left},
+      "spent": ledger["spent"] + newly_used,
       "billed": {**ledger.get("billed", {}), change.gid: used},
   }
 
 
-def _used(change: Settle | Bill | Reduce, ledger: Ledger) -> int:
+def _billable(change: Settle | ReportUse | Release, ledger: Ledger) -> int:
   """Returns the tokens to bill: all but the parts settled here before."""
-  here = ledger["parts"].get(change.gid, {})
+  settled = ledger["parts"].get(change.gid, {})
   return change.used + sum(
-      used for part, used in change.parts.items() if part not in here
+      used for part, used in change.parts.items() if part not in settled
   )
 
 
 @change_lib.apply.register
 def _(change: Settle, ledger: Ledger | None) -> Ledger | None:
-  place = _place(ledger, change.gid)
-  if place is None:
+  table = _find_table(ledger, change.gid)
+  if table is None:
     return None
   after = {
       **ledger,
-      place: _without(ledger[place], change.gid),
+      table: _without(ledger[table], change.gid),
       "spent": ledger["spent"] + _unbilled(change, ledger),
   }
-  after = _lose(after, _not_here(change, ledger))
+  after = _add_lost(after, _unsettled_lost(change, ledger))
   after["parts"] = _without(after["parts"], change.gid)
   return _forget_reports(after, change.gid)
 
 
 @change_lib.apply.register
-def _(change: Reduce, ledger: Ledger | None) -> Ledger | None:
-  place = _place(ledger, change.gid)
-  if place is None or _has_stopped(ledger, change.gid):
+def _(change: Release, ledger: Ledger | None) -> Ledger | None:
+  table = _find_table(ledger, change.gid)
+  if table is None or _has_stopped(ledger, change.gid):
     return None
-  here = ledger["parts"].get(change.gid, {})
-  kept = {p: n for p, n in change.out.items() if p not in here}
-  marks = {**here, **dict.fromkeys([*change.parts, *change.lost, _STOPPED], 0)}
+  settled = ledger["parts"].get(change.gid, {})
+  kept = {p: n for p, n in change.out.items() if p not in settled}
+  marks = {
+      **settled,
+      **dict.fromkeys([*change.parts, *change.lost, _STOPPED_MARK], 0),
+  }
   after = {
       **ledger,
-      place: {**ledger[place], change.gid: sum(kept.values())},
+      table: {**ledger[table], change.gid: sum(kept.values())},
       "spent": ledger["spent"] + _unbilled(change, ledger),
       "parts": {**ledger["parts"], change.gid: marks},
       "out": {**ledger.get("out", {}), change.gid: kept},
   }
   after = _forget_reports(after, change.gid)
-  after = _drop_if_done(after, place, change.gid)
-  return _lose(after, _not_here(change, ledger))
+  after = _drop_if_done(after, table, change.gid)
+  return _add_lost(after, _unsettled_lost(change, ledger))
 
 
 @change_lib.apply.register
@@ -420,7 +423,7 @@
   return {**ledger, "grants": {**ledger["grants"], change.gid: left}}
 
 
-def _grant_of(ledger: Ledger | None, part: str) -> str:
+def _stopped_grant_of(ledger: Ledger | None, part: str) -> str:
   """Returns the stopped holder's grant that `part` is of; empty: none."""
   for gid, parts in (ledger or {}).get("out", {}).items():
     if part in parts:
@@ -431,31 +434,34 @@
 @change_lib.apply.register
 def _(change: SettlePart, ledger: Ledger | None) -> Ledger | None:
   if not change.gid:
-    change = change._replace(gid=_grant_of(ledger, change.part))
+    change = change._replace(gid=_stopped_grant_of(ledger, change.part))
   if ledger is not None and change.part in ledger["lost"]:
     # The holder of the grant wrote the part off before it went.
     return change_lib.apply(Settle(change.part, change.used), ledger)
-  place = _place(ledger, change.gid)
-  if place is None:
+  table = _find_table(ledger, change.gid)
+  if table is None:
     return None
-  here = ledger["parts"].get(change.gid, {})
-  if change.part in here:
+  settled = ledger["parts"].get(change.gid, {})
+  if change.part in settled:
     return None
-  stopped = _has_stopped(ledger, change.gid)
-  off = change.tokens if stopped else change.used
-  marks = {**here, change.part: change.used}
+  holder_stopped = _has_stopped(ledger, change.gid)
+  deducted = change.tokens if holder_stopped else change.used
+  marks = {**settled, change.part: change.used}
   after = {
       **ledger,
-      place: {**ledger[place], change.gid: ledger[place][change.gid] - off},
+      table: {
+          **ledger[table],
+          change.gid: ledger[table][change.gid] - deducted,
+      },
       "spent": ledger["spent"] + change.used,
       "parts": {**ledger["parts"], change.gid: marks},
   }
-  return _drop_if_done(after, place, change.gid)
+  return _drop_if_done(after, table, change.gid)
 
 
-def _unbilled(change: Settle | Reduce, ledger: Ledger) -> int:
+def _unbilled(change: Settle | Release, ledger: Ledger) -> int:
   """Returns the tokens to bill that were not reported before."""
-  return _used(change, ledger) - billed(ledger, change.gid)
+  return _billable(change, ledger) - billed(ledger, change.gid)
 
 
 def _forget_reports(ledger: Ledger, gid: str) -> Ledger:
@@ -470,16 +476,16 @@
 
 def _has_stopped(ledger: Ledger, gid: str) -> bool:
   """Whether the holder of `gid` has ended its own use of it."""
-  return _STOPPED in ledger["parts"].get(gid, {})
+  return _STOPPED_MARK in ledger["parts"].get(gid, {})
 
 
-def _drop_if_done(ledger: Ledger, place: str, gid: str) -> Ledger:
+def _drop_if_done(ledger: Ledger, table: str, gid: str) -> Ledger:
   """Returns `ledger` without a stopped holder's grant that is used up."""
-  if not _has_stopped(ledger, gid) or ledger[place][gid] > 0:
+  if not _has_stopped(ledger, gid) or ledger[table][gid] > 0:
     return ledger
   return {
       **ledger,
-      place: _without(ledger[place], gid),
+      table: _without(ledger[table], gid),
       "parts": _without(ledger["parts"], gid),
       "out": _without(ledger.get("out", {}), gid),
   }
@@ -491,7 +497,7 @@
     return None
   grants = _without(ledger["grants"], change.gid)
   tokens = ledger["grants"][change.gid]
-  return _lose({**ledger, "grants": grants}, {change.gid: tokens})
+  return _add_lost({**ledger, "grants": grants}, {change.gid: tokens})
 
 
 @change_lib.apply.register
@@ -499,55 +505,57 @@
   if ledger is None:
     return None
   after = ledger
-  for gid in predecessors(ledger, change.life):
+  for gid in earlier_grants(ledger, change.life):
     after = _reclaim(after, gid, change)
   return None if after is ledger else after
 
 
 def _reclaim(ledger: Ledger, gid: str, change: Reclaim) -> Ledger:
   """Returns `ledger` with a dead holder's grant down to its ceiling."""
-  promise = ceiling(ledger, gid)
-  place = _place(ledger, gid)
-  elapsed_s = unheard_s(change, gid, promise)
+  last_ceiling = ceiling(ledger, gid)
+  table = _find_table(ledger, gid)
+  elapsed_s = unheard_s(change, gid, last_ceiling)
   ledger = {**ledger, "ceilings": _without(ledger["ceilings"], gid)}
-  if place is None:
+  if table is None:
     return ledger
-  left = ledger[place][gid]
+  left = ledger[table][gid]
   if elapsed_s is not None:
-    undrawn = _granted(ledger, place, gid) - promise.after(elapsed_s)
+    undrawn = _granted(ledger, table, gid) - last_ceiling.allowed_after(
+        elapsed_s
+    )
     left -= max(0, min(left, undrawn))
-  return _lose({**ledger, place: _without(ledger[place], gid)}, {gid: left})
+  return _add_lost({**ledger, table: _without(ledger[table], gid)}, {gid: left})
 
 
 def unheard_s(
-    change: Reclaim, gid: str, promise: ceilings_lib.Ceiling
+    change: Reclaim, gid: str, last_ceiling: ceilings_lib.Ceiling
 ) -> float | None:
   """Returns how long the holder of `gid` can have drawn unheard, at most.
 
   Since its promise or its last renewal, whichever is later; None when the
   clocks tell nothing.
   """
-  known = [promise.issued, change.renewed.get(holder(gid))]
+  moments = [last_ceiling.issued, change.renewed.get(holder(gid))]
   spans = [
-      ceilings_lib.most_elapsed_s(moment, change.started)
-      for moment in known
+      ceilings_lib.max_elapsed_s(moment, change.started)
+      for moment in moments
       if moment is not None
   ]
   return min((span for span in spans if span is not None), default=None)
 
 
-def _not_here(change: Settle | Reduce, ledger: Ledger) -> dict[str, int]:
+def _unsettled_lost(change: Settle | Release, ledger: Ledger) -> dict[str, int]:
   """Returns the lost parts that were not settled here meanwhile."""
-  here = ledger["parts"].get(change.gid, {})
-  return {p: n for p, n in change.lost.items() if p not in here}
+  settled = ledger["parts"].get(change.gid, {})
+  return {p: n for p, n in change.lost.items() if p not in settled}
 
 
-def _lose(ledger: Ledger, tokens: Mapping[str, int]) -> Ledger:
+def _add_lost(ledger: Ledger, tokens: Mapping[str, int]) -> Ledger:
   """Returns `ledger` with more written off; the oldest are summed."""
   written_off = {**ledger["lost"], **tokens}
   before = ledger["lost_before"]
   parts = dict(ledger["parts"])
-  while len(written_off) > _LOST_KEPT:
+  while len(written_off) > _MAX_LOST_GRANTS:
     oldest = next(iter(written_off))
     before += written_off.pop(oldest)
     parts.pop(oldest, None)
@@ -555,8 +563,8 @@
   return {**ledger, "lost": written_off, "lost_before": before, "parts": parts}
 
 
-def _mark(ledger: Ledger, op: str) -> list[str]:
-  return (ledger["ops"] + [op])[-_OPS_KEPT:]
+def _append_op(ledger: Ledger, op: str) -> list[str]:
+  return (ledger["ops"] + [op])[-_MAX_OPS:]
 
 
 @change_lib.apply.register
@@ -566,7 +574,7 @@
   return {
       **ledger,
       "limit": ledger["limit"] + change.tokens,
-      "ops": _mark(ledger, change.op),
+      "ops": _append_op(ledger, change.op),
   }
 
 
@@ -590,7 +598,7 @@
     errors.KvUnknownError: it may be written; the same change again is safe.
   """
   sent = False
-  for _ in range(_ATTEMPTS):
+  for _ in range(_MAX_CAS_ATTEMPTS):
     record = await kv.get(key(name))
     current = change_lib.decode(record.value) if record else None
     after = change_lib.apply(change, current)
--- a/mustardfall/budget/handing.py
+++ b/mustardfall/budget/ownership.py
@@ -5,9 +5,9 @@
 import anyio
 
 from mustardfall import settings
+from mustardfall.budget import acquiring
 from mustardfall.budget import allotment
 from mustardfall.budget import budget_view as budget_view_lib
-from mustardfall.budget import drawing
 from mustardfall.budget import refusals as refusals_lib
 from mustardfall.budget import settling
 from mustardfall.kv import writer as writer_lib
@@ -15,13 +15,13 @@
 from mustardfall.membership import peers as peers_lib
 from mustardfall.util import clock as clock_lib
 
-_STAND_IN_S = 2.0
+_FALLBACK_GRANT_IDLE_S = 2.0
 """A grant of a budget that another router owns is kept while it was drawn on
 within this time: whoever stands in for an owner that is cut off is asked
 again and again, and each grant less costs writes and leaves rests behind."""
-_STOP_ROUNDS = 3
+_RECALL_ROUNDS = 3
 """Rounds in which a stopping router has its parts called back."""
-_STOP_PAUSE_S = 0.05
+_RECALL_PAUSE_S = 0.05
 """Between two of these rounds; a call takes some ms."""
 
 
@@ -50,8 +50,8 @@
       peers: peers_lib.Client,
       budget_view: budget_view_lib.BudgetView,
       table: allotment.Table,
-      refusals: refusals_lib.Refusals,
-      drawer: drawing.Drawer,
+      refusals: refusals_lib.RefusalCache,
+      acquirer: acquiring.TokenAcquirer,
       settler: settling.Settler,
       writer: writer_lib.Writer,
       counts: collections.Counter[str],
@@ -63,47 +63,52 @@
     self._budget_view = budget_view
     self._table = table
     self._refusals = refusals
-    self._drawer = drawer
+    self._acquirer = acquirer
     self._settler = settler
     self._writer = writer
     self._counts = counts
 
-  async def serve_part_request(self, ask: peers_lib.Ask) -> peers_lib.Handed:
+  async def serve_part_request(
+      self, request: peers_lib.Ask
+  ) -> peers_lib.Handed:
     """Hands a part of an owned budget on to another router."""
-    handed = self._hand_on(ask)
+    handed = self._delegate(request)
     if handed.tokens:
-      self._drawer.look_ahead(ask.budget, ask.customer)
-    if handed.tokens or self._drawer.stopping:
+      self._acquirer.refill_if_low(request.budget, request.customer)
+    if handed.tokens or self._acquirer.stopping:
       return handed._replace(unsure=not handed.tokens)
-    if self._budget_view.is_exhausted(ask.budget, ask.least):
+    if self._budget_view.is_exhausted(request.budget, request.least):
       return handed._replace(exhausted=True)
-    if self._refusals.repeat(ask.budget, ask.least):
+    if self._refusals.is_cached(request.budget, request.least):
       return handed
-    answered = await self._drawer.from_kv(
-        ask.budget, ask.least, ask.customer, self._owns(ask.budget)
+    answered = await self._acquirer.request_grant(
+        request.budget,
+        request.least,
+        request.customer,
+        self._owns(request.budget),
     )
-    handed = self._hand_on(ask)
+    handed = self._delegate(request)
     if handed.tokens:
       return handed
-    exhausted = self._budget_view.is_exhausted(ask.budget, ask.least)
+    exhausted = self._budget_view.is_exhausted(request.budget, request.least)
     return handed._replace(unsure=not answered, exhausted=exhausted)
 
   def _owns(self, budget: str) -> bool:
     return self._budget_view.owner(budget) is None
 
-  def _hand_on(self, ask: peers_lib.Ask) -> peers_lib.Handed:
+  def _delegate(self, request: peers_lib.Ask) -> peers_lib.Handed:
     share = self._config.part_share
-    size, gid = self._table.hand_on(
-        ask.budget, ask.part, ask.least, ask.want, share
+    size, gid = self._table.delegate(
+        request.budget, request.part, request.least, request.want, share
     )
     return peers_lib.Handed(size, gid)
 
   def serve_settle(self, ended: list[peers_lib.Ended]) -> None:
     """Takes ended parts back from another router."""
     for part in ended:
-      self._settler.take_back(part)
+      self._settler.settle_delegated(part)
 
-  def return_unowned(self) -> None:
+  def retire_unowned(self) -> None:
     """Retires grants of budgets that another router owns by now.
 
     Owners change when routers come and go. The next owner takes a grant of
@@ -116,7 +121,7 @@
     for row in self._table.rows.values():
       if row.source or self._budget_view.owner(row.budget) is None:
         continue
-      if now - row.drawn_at >= _STAND_IN_S:
+      if now - row.last_drawn_at >= _FALLBACK_GRANT_IDLE_S:
         row.retiring = True
 
   def write_off_parts(self) -> None:
@@ -129,19 +134,19 @@
         self._counts["parts_written_off"] += 1
         self._table.write_off(part)
 
-  async def call_back(self) -> None:
+  async def recall_parts(self) -> None:
     """Has other routers return parts that they do not use now."""
-    for _ in range(_STOP_ROUNDS):
-      out = {
+    for _ in range(_RECALL_ROUNDS):
+      outstanding = {
           (row.budget, part.holder)
           for row in self._table.rows.values()
           for part in row.parts.values()
       }
-      if not out:
+      if not outstanding:
         return
       async with anyio.create_task_group() as tg:
-        for budget, life in out:
+        for budget, life in outstanding:
           holder = self._members.lives.get(life)
           if holder is not None:
             tg.start_soon(self._peers.recall, holder, budget)
-      await anyio.sleep(_STOP_PAUSE_S)
+      await anyio.sleep(_RECALL_PAUSE_S)
--- a/mustardfall/budget/pool.py
+++ b/mustardfall/budget/pool.py
@@ -17,13 +17,13 @@
 from collections.abc import Callable, Iterable
 
 from mustardfall import settings
+from mustardfall.budget import acquiring
 from mustardfall.budget import allotment
 from mustardfall.budget import budget_view as budget_view_lib
-from mustardfall.budget import drawing
 from mustardfall.budget import granting
-from mustardfall.budget import handing
 from mustardfall.budget import holding
 from mustardfall.budget import ledger
+from mustardfall.budget import ownership
 from mustardfall.budget import policy as policy_lib
 from mustardfall.budget import recalling
 from mustardfall.budget import refusals
@@ -69,7 +69,7 @@
     self._clock = clock
     self._members = members
     self._counts: collections.Counter[str] = collections.Counter()
-    self._refusals = refusals.Refusals(clock)
+    self._refusals = refusals.RefusalCache(clock)
     self._reported_at = -float("inf")
     self.table = allotment.Table(members.me.life, self._config)
     self.budget_view = budget_view_lib.BudgetView(
@@ -82,7 +82,7 @@
         budgets,
     )
     self._settler = settling.Settler(self.table, members, peers, writer)
-    vouch = clock_check.vouch if clock_check is not None else _believe
+    vouch = clock_check.vouch if clock_check is not None else _unverified
     self.renewer = renewals.Renewer(
         self._config, clock, members.me.life, self.table, writer, vouch
     )
@@ -118,7 +118,7 @@
         vouch,
         self._counts,
     )
-    self.drawer = drawing.Drawer(
+    self.acquirer = acquiring.TokenAcquirer(
         self._config,
         clock,
         members,
@@ -131,7 +131,7 @@
         self._settler,
         self._counts,
     )
-    self.owner = handing.Owner(
+    self.owner = ownership.Owner(
         self._config,
         clock,
         members,
@@ -139,7 +139,7 @@
         self.budget_view,
         self.table,
         self._refusals,
-        self.drawer,
+        self.acquirer,
         self._settler,
         writer,
         self._counts,
@@ -159,14 +159,14 @@
       The reservation, or None when the budget, or the way to it, cannot
       give that many now: the request must not run.
     """
-    return await self.drawer.reserve(budget, tokens, customer)
+    return await self.acquirer.reserve(budget, tokens, customer)
 
   def settle(
       self, reservation: allotment.Reservation, used: int
   ) -> allotment.Settled:
     """Ends a reservation; `used` tokens of it are billed."""
     settled = self.table.settle(reservation, used)
-    ended = self.table.end_part(reservation.gid, self._clock.monotonic())
+    ended = self.table.pop_due_part(reservation.gid, self._clock.monotonic())
     if ended is not None:
       self._settler.settle_row(ended)
     return settled
@@ -175,22 +175,22 @@
     """Settles ended parts with their owners; see `settling`."""
     await self._settler.settle_parts()
 
-  def sweep(self, budget: str, found: ledger.Ledger) -> None:
+  def update_from_ledger(self, budget: str, found: ledger.Ledger) -> None:
     """Takes in what a ledger shows of this router's grants, and others'."""
     now = self._clock.monotonic()
-    self.budget_view.note(budget, found)
+    self.budget_view.update(budget, found)
     for gid in self.table.by_budget.get(budget, ()):
       self.table.grow(gid, ledger.granted(found, gid), now)
       ceiling = ledger.ceiling(found, gid)
       if ceiling is not None:
-        self.table.confirm(gid, ceiling, now)
-        self._settler.confirm(gid, ceiling)
+        self.table.confirm_ceiling(gid, ceiling, now)
+        self._settler.confirm_ceiling(gid, ceiling)
       if gid in found["lost"]:
         # Taken for dead while it was cut off. A grant that is written off
         # cannot grow: left in use, every refill would be refused.
         self.table.rows[gid].retiring = True
-    self._settler.sweep(budget, found, self._granter.asking)
-    self.reviewer.note(budget, found)
+    self._settler.settle_strays(budget, found, self._granter.pending_gids)
+    self.reviewer.schedule(budget, found)
 
   def retire(self, budget: str) -> None:
     """Gives the budget's idle tokens back, soon; the rest as they end."""
@@ -200,7 +200,7 @@
 
   def _shrink_retired(self) -> None:
     for row in self.table.rows.values():
-      if row.gid not in self._granter.asking:
+      if row.gid not in self._granter.pending_gids:
         self._settler.shrink(row)
 
   def tick(self, elapsed_s: float) -> None:
@@ -208,25 +208,25 @@
     now = self._clock.monotonic()
     for row in self.table.tick(now, elapsed_s):
       self._settler.settle_row(row)
-    report_s = holding.report_s(self._config, len(self._members.lives))
+    report_s = holding.report_interval_s(self._config, len(self._members.lives))
     if now - self._reported_at >= report_s and self._config.reports:
       self._reported_at = now
-      self._granter.report_use()
+      self._granter.report_usage()
       self.renewer.renew()
     self.budget_view.tick()
-    self.drawer.prefetch()
-    self.owner.return_unowned()
+    self.acquirer.prefetch()
+    self.owner.retire_unowned()
     self.owner.write_off_parts()
     self._shrink_retired()
     quiet_since = now - self._config.term_s
-    for part in (
+    for component in (
         self._refusals,
         self.budget_view,
         self.recaller,
         self.reviewer,
-        self.drawer,
+        self.acquirer,
     ):
-      part.forget(quiet_since)
+      component.prune(quiet_since)
 
   async def stop(self) -> None:
     """Hands everything back; called after the last request has ended.
@@ -234,14 +234,14 @@
     Parts still with other routers are called back first; what does not
     come back stays granted, and its holders settle it in the ledger.
     """
-    self.drawer.stopping = True
-    await self.owner.call_back()
+    self.acquirer.stopping = True
+    await self.owner.recall_parts()
     for row in self.table.clear():
       self._settler.settle_row(row)
     await self._settler.settle_parts()
     self._settler.settle_orphans()
 
 
-def _believe(moment: clock_lib.Moment) -> clock_lib.Moment:
+def _unverified(moment: clock_lib.Moment) -> clock_lib.Moment:
   """Vouches for nothing: no clocks are compared."""
   return moment
--- a/mustardfall/budget/recalling.py
+++ b/mustardfall/budget/recalling.py
@@ -62,7 +62,7 @@
       return False
     self._recalled_at[budget] = now
     holders = self._holders(budget, found)
-    reviews = self._reviewer.find(budget, found)
+    reviews = self._reviewer.find_reviews(budget, found)
     self._counts["recalls"] += len(holders)
     async with anyio.create_task_group() as tg:
       for holder in holders:
@@ -91,7 +91,7 @@
           tg.start_soon(self._settler.shrink_now, self._table.rows[gid])
       await self._settler.settle_parts()
 
-  def forget(self, before: float) -> None:
+  def prune(self, before: float) -> None:
     """Drops what was noted before then."""
     for budget, at in list(self._recalled_at.items()):
       if at < before:
--- a/mustardfall/budget/refusals.py
+++ b/mustardfall/budget/refusals.py
@@ -5,7 +5,7 @@
 from mustardfall.util import clock as clock_lib
 
 
-class _Refused(NamedTuple):
+class _Refusal(NamedTuple):
   """A budget that lately could not give `tokens`."""
 
   since: float
@@ -14,7 +14,7 @@
   tokens: int
 
 
-class Refusals:
+class RefusalCache:
   """Repeats refusals for a moment, so that they cost nothing.
 
   Without it each request on a used-up budget would cost a read of the KV
@@ -27,33 +27,33 @@
 
   def __init__(self, clock: clock_lib.Clock) -> None:
     self._clock = clock
-    self._refused: dict[str, _Refused] = {}
+    self._by_budget: dict[str, _Refusal] = {}
 
-  def note(self, budget: str, tokens: int, ttl_s: float) -> None:
+  def add(self, budget: str, tokens: int, ttl_s: float) -> None:
     """Notes that `budget` cannot give `tokens` now."""
     now = self._clock.monotonic()
-    last = self._refused.get(budget)
-    since = last.since if last is not None else now
-    self._refused[budget] = _Refused(since, now + ttl_s, tokens)
+    refusal = self._by_budget.get(budget)
+    since = refusal.since if refusal is not None else now
+    self._by_budget[budget] = _Refusal(since, now + ttl_s, tokens)
 
-  def repeat(self, budget: str, tokens: int) -> bool:
+  def is_cached(self, budget: str, tokens: int) -> bool:
     """Whether asking for `tokens` again would only be refused again."""
-    last = self._refused.get(budget)
-    if last is None or tokens < last.tokens:
+    refusal = self._by_budget.get(budget)
+    if refusal is None or tokens < refusal.tokens:
       return False
-    return self._clock.monotonic() <= last.until
+    return self._clock.monotonic() <= refusal.until
 
-  def lasts_s(self, budget: str) -> float:
+  def duration_s(self, budget: str) -> float:
     """Returns for how long the budget has been refusing, seconds."""
-    last = self._refused.get(budget)
-    return 0.0 if last is None else self._clock.monotonic() - last.since
+    refusal = self._by_budget.get(budget)
+    return 0.0 if refusal is None else self._clock.monotonic() - refusal.since
 
-  def end(self, budget: str) -> None:
+  def remove(self, budget: str) -> None:
     """Forgets a budget: it gives again."""
-    self._refused.pop(budget, None)
+    self._by_budget.pop(budget, None)
 
-  def forget(self, before: float) -> None:
+  def prune(self, before: float) -> None:
     """Drops what was noted of budgets that are quiet since `before`."""
-    for budget, last in list(self._refused.items()):
-      if last.until < before:
-        del self._refused[budget]
+    for budget, refusal in list(self._by_budget.items()):
+      if refusal.until < before:
+        del self._by_budget[budget]
--- a/mustardfall/budget/renewals.py
+++ b/mustardfall/budget/renewals.py
@@ -25,9 +25,9 @@
 logger = logging.getLogger(__name__)
 
 PREFIX = "renewal/"
-_READ_AGAIN_S = 0.1
+_READ_RETRY_S = 0.1
 """Between two reads of a store that did not answer."""
-_LIVES_KEPT = 4
+_MAX_LIVES = 4
 """Earlier lives whose last renewal is kept: a router that dies again before
 it has judged the life before leaves both to the next."""
 
@@ -46,12 +46,12 @@
   moment: clock_lib.Moment
 
 
-class Look(NamedTuple):
+class Read(NamedTuple):
   """Changes nothing; its writer reads what is there."""
 
 
 @change_lib.apply.register
-def _(change: Look, value: Renewals | None) -> Renewals | None:
+def _(change: Read, value: Renewals | None) -> Renewals | None:
   del change, value
   return None
 
@@ -63,7 +63,7 @@
   if before is not None and before[0] >= change.moment.boot_s:
     return None
   lives[change.life] = list(change.moment)
-  while len(lives) > _LIVES_KEPT:
+  while len(lives) > _MAX_LIVES:
     del lives[next(iter(lives))]
   return Renewals(lives=lives)
 
@@ -95,9 +95,9 @@
     self._table = table
     self._writer = writer
     self._vouch = vouch
-    self._earlier: dict[str, clock_lib.Moment] = {}
-    self._read = anyio.Event()
-    self._pending: list[float] | None = None
+    self._earlier_renewals: dict[str, clock_lib.Moment] = {}
+    self._loaded = anyio.Event()
+    self._unconfirmed: list[float] | None = None
     """The moment of a renewal that was not heard of yet."""
 
   @property
@@ -105,34 +105,36 @@
     """The key in the KV."""
     return PREFIX + self._life.rpartition(":")[0]
 
-  def take(self, value: Renewals) -> None:
+  def update(self, value: Renewals) -> None:
     """Takes in what the KV holds."""
     for life, moment in value["lives"].items():
       if life != self._life:
-        self._earlier[life] = clock_lib.Moment(*moment)
-      elif list(moment) == self._pending:
-        self._pending = None
-    self._read.set()
-
-  async def earlier(self, timeout_s: float) -> Mapping[str, clock_lib.Moment]:
+        self._earlier_renewals[life] = clock_lib.Moment(*moment)
+      elif list(moment) == self._unconfirmed:
+        self._unconfirmed = None
+    self._loaded.set()
+
+  async def earlier_renewals(
+      self, timeout_s: float
+  ) -> Mapping[str, clock_lib.Moment]:
     """Returns the last renewals of earlier lives, as far as known by then."""
-    if self._config.reports and not self._read.is_set():
+    if self._config.reports and not self._loaded.is_set():
       with anyio.move_on_after(timeout_s):
         await self._read_earlier()
-    return self._earlier
+    return self._earlier_renewals
 
   async def _read_earlier(self) -> None:
     """Reads them: this life may never have a promise of its own to renew."""
-    while not self._read.is_set():
+    while not self._loaded.is_set():
       try:
-        found = await self._writer.submit(self.key, Look())
+        found = await self._writer.submit(self.key, Read())
       except (errors.KvUnavailableError, errors.KvUnknownError) as exc:
         logger.debug("renewals not read: %s", exc)
-        await anyio.sleep(_READ_AGAIN_S)
+        await anyio.sleep(_READ_RETRY_S)
         continue
       if found is not None:
-        self.take(found)
-      self._read.set()
+        self.update(found)
+      self._loaded.set()
 
   def renew(self) -> None:
     """Renews soon, if all promises hold and the last renewal was heard of.
@@ -143,12 +145,12 @@
     silent store, they would keep it from drawing more when it must.
     """
     table = self._table
-    if self._pending is not None or not table.has_promised:
+    if self._unconfirmed is not None or not table.has_issued_ceilings:
       return
-    if not table.keeps_promises():
+    if not table.within_issued_ceilings():
       return
     moment = self._vouch(self._clock.moment())
     now = self._clock.monotonic()
-    self._table.renew(now)
-    self._pending = list(moment)
+    self._table.renew_ceilings(now)
+    self._unconfirmed = list(moment)
     self._writer.post(self.key, Renew(self._life, moment))
--- a/mustardfall/budget/reserving.py
+++ b/mustardfall/budget/reserving.py
@@ -34,42 +34,42 @@
       self, budget: str, tokens: int
   ) -> allotment.Reservation | None:
     """Returns a reservation, or None when there was none in time."""
-    waiting = _Waiting()
+    pending = _PendingReservation()
 
     async def _reserve() -> None:
       try:
-        waiting.found = await self._pool.reserve(budget, tokens, budget)
+        pending.found = await self._pool.reserve(budget, tokens, budget)
       except Exception:  # noqa: BLE001  it runs beside all other requests
         # An error here would end the group of tasks that it runs in, and
         # with it the router. The request goes without tokens.
         logger.exception("reservation failed", extra={"budget": budget})
-      waiting.done.set()
-      if waiting.over:
-        self._return(waiting.take())
+      pending.done.set()
+      if pending.abandoned:
+        self._return(pending.take())
 
     self._tasks.start_soon(_reserve)
     try:
       with anyio.move_on_after(self._wait_s):
-        await waiting.done.wait()
-      return waiting.take()
+        await pending.done.wait()
+      return pending.take()
     finally:
       # A caller that leaves in the very moment in which its tokens come
       # has not taken them; kept, they would be set aside for ever.
-      waiting.over = True
-      self._return(waiting.take())
+      pending.abandoned = True
+      self._return(pending.take())
 
   def _return(self, reservation: allotment.Reservation | None) -> None:
     if reservation is not None:
       self._pool.settle(reservation, 0)
 
 
-class _Waiting:
+class _PendingReservation:
   """A reservation that is being made, and whether anybody still waits."""
 
   def __init__(self) -> None:
     self.done = anyio.Event()
     self.found: allotment.Reservation | None = None
-    self.over = False
+    self.abandoned = False
 
   def take(self) -> allotment.Reservation | None:
     """Returns the reservation, to one taker only."""
--- a/mustardfall/budget/reviewing.py
+++ b/mustardfall/budget/reviewing.py
@@ -17,7 +17,7 @@
 
 logger = logging.getLogger(__name__)
 
-_PAUSE_S = 0.05
+_ROUND_PAUSE_S = 0.05
 """Between two rounds of reviews."""
 _CLOCK_WAIT_S = 1.5
 """How long a review waits for the clocks to be compared. Routers that lost
@@ -26,7 +26,7 @@
 _RENEWALS_WAIT_S = 1.5
 """How long a review waits for the renewals of earlier lives, which come with
 this life's first: one call, once the store answers."""
-_AGAIN_S = 1.0
+_REVIEW_RETRY_S = 1.0
 """A review is asked for again after this. A router that has just started
 may not be reached at once; each sight of the ledger asks again."""
 
@@ -65,9 +65,9 @@
     self._renewer = renewer
     self._counts = counts
     self._started = clock.started()
-    self._due: set[tuple[str, str]] = set()
+    self._pending_reviews: set[tuple[str, str]] = set()
     """Later lives of dead routers, and budgets that they are to review."""
-    self._event = anyio.Event()
+    self._wake = anyio.Event()
     self._asked_at: dict[str, float] = {}
     """When a review was last asked for, by grant."""
 
@@ -75,36 +75,38 @@
     check = self._clock_check
     return moment if check is None else check.vouch(moment)
 
-  def find(self, budget: str, found: ledger.Ledger) -> set[tuple[str, str]]:
+  def find_reviews(
+      self, budget: str, found: ledger.Ledger
+  ) -> set[tuple[str, str]]:
     """Returns who can give back what dead routers held of a budget."""
     reviews = set()
     now = self._clock.monotonic()
     for gid in found.get("ceilings", {}):
       member = self._members.successor(ledger.holder(gid))
       asked_at = self._asked_at.get(gid, -float("inf"))
-      if member is not None and now - asked_at >= _AGAIN_S:
+      if member is not None and now - asked_at >= _REVIEW_RETRY_S:
         self._asked_at[gid] = now
         reviews.add((member.life, budget))
     return reviews
 
-  def note(self, budget: str, found: ledger.Ledger) -> None:
+  def schedule(self, budget: str, found: ledger.Ledger) -> None:
     """Has what a ledger shows of dead routers reviewed soon."""
-    reviews = self.find(budget, found)
+    reviews = self.find_reviews(budget, found)
     if reviews:
-      self._due |= reviews
-      self._event.set()
+      self._pending_reviews |= reviews
+      self._wake.set()
 
   async def run(self) -> None:
     """Has what dead routers held of budgets given back, until cancelled."""
     while True:
-      await self._event.wait()
-      self._event = anyio.Event()
-      await self.review_noted()
-      await anyio.sleep(_PAUSE_S)
+      await self._wake.wait()
+      self._wake = anyio.Event()
+      await self.review_pending()
+      await anyio.sleep(_ROUND_PAUSE_S)
 
-  async def review_noted(self) -> None:
+  async def review_pending(self) -> None:
     """Has the grants of dead routers reviewed that were seen so far."""
-    reviews, self._due = self._due, set()
+    reviews, self._pending_reviews = self._pending_reviews, set()
     async with anyio.create_task_group() as tg:
       for life, budget in reviews:
         tg.start_soon(self.review_one, life, budget)
@@ -127,14 +129,14 @@
     if self._clock_check is None or self._clock_check.agrees:
       await self._review_own(budget)
       return
-    self._due.add((self._members.me.life, budget))
-    self._event.set()
+    self._pending_reviews.add((self._members.me.life, budget))
+    self._wake.set()
 
   async def _review_own(self, budget: str) -> None:
     if self._clock_check is not None:
       await self._clock_check.wait(_CLOCK_WAIT_S)
     me = self._members.me.life
-    renewed = await self._renewer.earlier(_RENEWALS_WAIT_S)
+    renewed = await self._renewer.earlier_renewals(_RENEWALS_WAIT_S)
     change = ledger.Reclaim(me, self._vouch(self._started), renewed)
     before = self._budget_view.ledgers.get(budget)
     try:
@@ -148,7 +150,7 @@
     if before and after:
       _log_reviews(budget, change, before, after)
 
-  def forget(self, before: float) -> None:
+  def prune(self, before: float) -> None:
     """Drops what was noted before then."""
     for gid, at in list(self._asked_at.items()):
       if at < before:
@@ -161,7 +163,7 @@
     before: ledger.Ledger,
     after: ledger.Ledger,
 ) -> None:
-  for gid in ledger.predecessors(before, change.life):
+  for gid in ledger.earlier_grants(before, change.life):
     promise = ledger.ceiling(before, gid)
     logger.info(
         "grant of an earlier life reviewed",
--- a/mustardfall/budget/settling.py
+++ b/mustardfall/budget/settling.py
@@ -14,7 +14,7 @@
 from mustardfall.membership import members as members_lib
 from mustardfall.membership import peers as peers_lib
 
-_FORGET_S = 600.0
+_OWNER_RETENTION_S = 600.0
 """An owner gone for this long is not paused; it will not come back."""
 
 
@@ -40,11 +40,11 @@
     self._peers = peers
     self._writer = writer
     self.counts: collections.Counter[str] = collections.Counter()
-    self._settling: dict[str, set[str]] = {}
+    self._settling_gids: dict[str, set[str]] = {}
     """Grants with a settlement on its way, by budget."""
-    self._billed: dict[str, int] = {}
+    self._reported_use: dict[str, int] = {}
     """What was reported of grants, or is about to be."""
-    self._reporting: dict[str, ceilings_lib.Ceiling | None] = {}
+    self._unconfirmed_reports: dict[str, ceilings_lib.Ceiling | None] = {}
     """Reports on their way, by grant, with what they promise."""
     self._ended: dict[str, list[tuple[peers_lib.Ended, allotment.Row]]] = {}
     """Parts to settle, by the life of the owner that handed them on."""
@@ -54,31 +54,31 @@
     if row.source:
       self.queue_ended(row)
       return
-    self._billed.pop(row.gid, None)
-    self._reporting.pop(row.gid, None)
-    self._settling.setdefault(row.budget, set()).add(row.gid)
+    self._reported_use.pop(row.gid, None)
+    self._unconfirmed_reports.pop(row.gid, None)
+    self._settling_gids.setdefault(row.budget, set()).add(row.gid)
     self._writer.post(ledger.key(row.budget), _settlement(row))
 
-  def owes_report(self, row: allotment.Row) -> bool:
+  def needs_report(self, row: allotment.Row) -> bool:
     """Whether a row has used more than was reported, and none is under way.
 
     While the KV is away one report waits; more would only queue behind it.
     """
-    if row.source or row.gid in self._reporting:
+    if row.source or row.gid in self._unconfirmed_reports:
       return False
     # A row that drew more than it had promised at first needs a new promise
     # even if it is quiet since: until then none of the promises is renewed.
-    overdrawn = not row.keeps_promises
-    return overdrawn or _used(row) > self._billed.get(row.gid, 0)
+    overdrawn = not row.within_issued_ceilings
+    return overdrawn or _total_used(row) > self._reported_use.get(row.gid, 0)
 
   def report(
       self, row: allotment.Row, ceiling: ceilings_lib.Ceiling | None
   ) -> None:
     """Reports what a row has used so far, some time soon."""
-    self._billed[row.gid] = _used(row)
+    self._reported_use[row.gid] = _total_used(row)
     if ceiling is not None:
-      self._reporting[row.gid] = ceiling
-    self._writer.post(ledger.key(row.budget), _bill(row, ceiling))
+      self._unconfirmed_reports[row.gid] = ceiling
+    self._writer.post(ledger.key(row.budget), _usage_report(row, ceiling))
 
   async def report_now(
       self, row: allotment.Row, ceiling: ceilings_lib.Ceiling
@@ -89,15 +89,17 @@
       errors.KvUnavailableError: not written.
       errors.KvUnknownError: it may have been written.
     """
-    total = _used(row)
-    await self._writer.submit(ledger.key(row.budget), _bill(row, ceiling))
-    self._billed[row.gid] = total
+    total = _total_used(row)
+    await self._writer.submit(
+        ledger.key(row.budget), _usage_report(row, ceiling)
+    )
+    self._reported_use[row.gid] = total
 
-  def confirm(self, gid: str, ceiling: ceilings_lib.Ceiling) -> None:
+  def confirm_ceiling(self, gid: str, ceiling: ceilings_lib.Ceiling) -> None:
     """Notes the promise that a ledger was seen with."""
-    waiting = self._reporting.get(gid)
-    if waiting is not None and waiting.issued <= ceiling.issued:
-      del self._reporting[gid]
+    sent = self._unconfirmed_reports.get(gid)
+    if sent is not None and sent.issued <= ceiling.issued:
+      del self._unconfirmed_reports[gid]
 
   def shrink(self, row: allotment.Row) -> None:
     """Gives back soon what a retired row has left, while requests draw on it.
@@ -105,13 +107,13 @@
     A router that is cut off from it, or a stream that lasts, may hold a
     retired row for long; nothing else may draw on the rest meanwhile.
     """
-    change = _shrink(row)
+    change = _shrink_change(row)
     if change is not None:
       self._writer.post(ledger.key(row.budget), change)
 
   async def shrink_now(self, row: allotment.Row) -> None:
     """Does so and waits for it, or leaves it to be tried again."""
-    change = _shrink(row)
+    change = _shrink_change(row)
     if change is None:
       return
     try:
@@ -124,7 +126,7 @@
     if row.source:
       self.settle_row(row)
       return
-    self._settling.setdefault(row.budget, set()).add(row.gid)
+    self._settling_gids.setdefault(row.budget, set()).add(row.gid)
     try:
       await self._writer.submit(ledger.key(row.budget), _settlement(row))
     except (errors.KvUnavailableError, errors.KvUnknownError):
@@ -132,7 +134,7 @@
 
   def queue_ended(self, row: allotment.Row) -> None:
     """Leaves a finished part to be settled with its owner."""
-    ended = peers_lib.Ended(row.gid, row.own)
+    ended = peers_lib.Ended(row.gid, row.own_drawn)
     self._ended.setdefault(row.source, []).append((ended, row))
 
   async def settle_parts(self) -> None:
@@ -153,16 +155,16 @@
       elif self._members.has_gone(life):
         for ended, row in batch:
           self._settle_orphan(ended, row)
-        if self._members.absent_s(life) > _FORGET_S:
+        if self._members.absent_s(life) > _OWNER_RETENTION_S:
           continue
       self._ended.setdefault(life, []).extend(batch)
 
   def _settle_orphan(self, ended: peers_lib.Ended, row: allotment.Row) -> None:
     """Settles a part in the ledger, once, since its owner has gone."""
-    if row.orphaned:
+    if row.settled_in_ledger:
       return
     change = ledger.SettlePart(row.source_gid, row.gid, row.granted, ended.used)
-    row.orphaned = True
+    row.settled_in_ledger = True
     self._writer.post(ledger.key(row.budget), change)
     self.counts["orphan_parts"] += 1
 
@@ -175,20 +177,22 @@
       for ended, row in batch:
         self._settle_orphan(ended, row)
 
-  def take_back(self, ended: peers_lib.Ended) -> None:
+  def settle_delegated(self, ended: peers_lib.Ended) -> None:
     """Takes a part that another router has done with."""
     part, used = ended
-    left = self._table.left_out.pop(part, None)
+    left = self._table.outstanding_parts.pop(part, None)
     if left is not None:
       # This router stopped without the part; the ledger still counts it.
       change = ledger.SettlePart(left.gid, part, left.tokens, used)
       self._writer.post(ledger.key(left.budget), change)
       return
-    budget = self._table.take_back(part, used)
+    budget = self._table.settle_delegated(part, used)
     if budget is not None:
       self._writer.post(ledger.key(budget), ledger.Settle(part, used))
 
-  def sweep(self, budget: str, found: ledger.Ledger, asking: set[str]) -> None:
+  def settle_strays(
+      self, budget: str, found: ledger.Ledger, pending_gids: set[str]
+  ) -> None:
     """Ends grants seen in a ledger that nobody draws on any more.
 
     A grant whose reply was lost may land after this router gave it up:
@@ -196,28 +200,30 @@
     nothing used. A grant of a router that has gone is written off, unless
     a later life of that router is there to say what was not drawn of it.
     """
-    settling = self._settling.get(budget, set())
-    settling &= found["grants"].keys()
-    if not settling:
-      self._settling.pop(budget, None)
+    in_progress = self._settling_gids.get(budget, set())
+    in_progress &= found["grants"].keys()
+    if not in_progress:
+      self._settling_gids.pop(budget, None)
     for gid in found["grants"]:
       life = ledger.holder(gid)
       if life == self._members.me.life:
-        known = gid in self._table.rows or gid in asking
-        if not known and gid not in settling:
+        known = gid in self._table.rows or gid in pending_gids
+        if not known and gid not in in_progress:
           self.counts["stray_grants"] += 1
           self.settle_row(allotment.Row(budget, gid, 0, 0.0))
-      elif self._members.has_gone(life) and not self._reviewed(found, gid):
+      elif self._members.has_gone(life) and not self._will_be_reviewed(
+          found, gid
+      ):
         self.counts["grants_written_off"] += 1
         self._writer.post(ledger.key(budget), ledger.WriteOff(gid))
 
-  def _reviewed(self, found: ledger.Ledger, gid: str) -> bool:
+  def _will_be_reviewed(self, found: ledger.Ledger, gid: str) -> bool:
     """Whether a later life of the grant's holder will review it."""
     promised = ledger.ceiling(found, gid) is not None
     return promised and bool(self._members.successor(ledger.holder(gid)))
 
 
-def _shrink(row: allotment.Row) -> ledger.Shrink | None:
+def _shrink_change(row: allotment.Row) -> ledger.Shrink | None:
   """Returns the change that gives a retired row's rest back, if it has one.
 
   The rest is taken off the row at once. Nothing draws on a retired row, so
@@ -231,20 +237,22 @@
   return ledger.Shrink(row.gid, row.granted + tokens, tokens)
 
 
-def _used(row: allotment.Row) -> int:
+def _total_used(row: allotment.Row) -> int:
   """Returns the tokens of a row that were used for certain."""
   return row.used + sum(row.parts_used.values())
 
 
-def _bill(
+def _usage_report(
     row: allotment.Row, ceiling: ceilings_lib.Ceiling | None
-) -> ledger.Bill:
-  return ledger.Bill(row.gid, row.used, dict(row.parts_used), ceiling)
+) -> ledger.ReportUse:
+  return ledger.ReportUse(row.gid, row.used, dict(row.parts_used), ceiling)
 
 
-def _settlement(row: allotment.Row) -> ledger.Settle | ledger.Reduce:
+def _settlement(row: allotment.Row) -> ledger.Settle | ledger.Release:
   """Returns the ledger change that ends `row`."""
   if not row.parts:
-    return ledger.Settle(row.gid, row.own, row.parts_used, row.lost_parts)
+    return ledger.Settle(row.gid, row.own_drawn, row.parts_used, row.lost_parts)
   out = {name: part.tokens for name, part in row.parts.items()}
-  return ledger.Reduce(row.gid, row.own, out, row.parts_used, row.lost_parts)
+  return ledger.Release(
+      row.gid, row.own_drawn, out, row.parts_used, row.lost_parts
+  )
--- a/tests/test_allotment.py
+++ b/tests/test_allotment.py
@@ -18,22 +18,22 @@
     # The owner's answer was lost and the router asks again: it gets the
     # part it was given, not a second one.
     table = _table()
-    first = table.hand_on("b", "r2:e:1", 10, 40, 1.0)
-    self.assertEqual(first, table.hand_on("b", "r2:e:1", 10, 40, 1.0))
+    first = table.delegate("b", "r2:e:1", 10, 40, 1.0)
+    self.assertEqual(first, table.delegate("b", "r2:e:1", 10, 40, 1.0))
     self.assertEqual(60, table.rows["r1:e:1"].free)
 
   def test_late_ask_does_not_revive_an_ended_part(self):
     # The asker gave up and settled the part as unused; then its first
     # ask arrives, late. Handed on now, the tokens would never come back.
     table = _table()
-    table.take_back("r2:e:1", 0)
-    self.assertEqual((0, ""), table.hand_on("b", "r2:e:1", 10, 40, 1.0))
+    table.settle_delegated("r2:e:1", 0)
+    self.assertEqual((0, ""), table.delegate("b", "r2:e:1", 10, 40, 1.0))
 
   def test_repeated_settlement_is_taken_once(self):
     table = _table()
-    table.hand_on("b", "r2:e:1", 10, 40, 1.0)
-    table.take_back("r2:e:1", 15)
-    table.take_back("r2:e:1", 15)
+    table.delegate("b", "r2:e:1", 10, 40, 1.0)
+    table.settle_delegated("r2:e:1", 15)
+    table.settle_delegated("r2:e:1", 15)
     self.assertEqual(85, table.rows["r1:e:1"].free)
 
   def test_parts_of_a_part_are_not_handed_on(self):
@@ -41,7 +41,7 @@
     # settle a part of a part when its owner has gone.
     table = allotment.Table("r1:e", settings.Allotment())
     table.add("b", table.new_gid(), 100, 0.0, source="r3:e", source_gid="g")
-    self.assertEqual((0, ""), table.hand_on("b", "r2:e:1", 10, 40, 1.0))
+    self.assertEqual((0, ""), table.delegate("b", "r2:e:1", 10, 40, 1.0))
 
   def test_overrun_is_billed_and_shown(self):
     # An engine generates more than it was allowed. Hiding the rest would
@@ -49,4 +49,4 @@
     table = _table()
     settled = table.settle(table.reserve("b", 10), 25)
     self.assertEqual((25, 15), settled)
-    self.assertEqual(25, table.rows["r1:e:1"].own)
+    self.assertEqual(25, table.rows["r1:e:1"].own_drawn)
--- a/tests/test_ceilings.py
+++ b/tests/test_ceilings.py
@@ -32,48 +32,48 @@
       ledger.Grant(gid, 1, want, 1.0, 0.0, _LIMIT, 0, ceiling), None
   )
   if used:
-    after = change.apply(ledger.Bill(gid, used), after)
+    after = change.apply(ledger.ReportUse(gid, used), after)
   return after
 
 
 class ElapsedTest(testtools.TestCase):
 
   def test_boot_clock_tells_after_a_kill(self):
-    elapsed_s = ceilings.most_elapsed_s(_at(100.0), _at(102.0))
+    elapsed_s = ceilings.max_elapsed_s(_at(100.0), _at(102.0))
     self.assertTrue(2.0 <= elapsed_s <= 2.5, elapsed_s)
 
   def test_time_of_suspension_counts(self):
     # Steady clocks stand still while a host is suspended, these two don't.
-    elapsed_s = ceilings.most_elapsed_s(_at(100.0), _at(108.0))
+    elapsed_s = ceilings.max_elapsed_s(_at(100.0), _at(108.0))
     self.assertTrue(elapsed_s >= 8.0, elapsed_s)
 
   def test_after_power_loss_the_wall_clock_tells_with_its_error(self):
-    elapsed_s = ceilings.most_elapsed_s(_at(100.0, 50.0), _at(0.4, 52.0))
-    self.assertAlmostEqual(2.0 + ceilings._WALL_ERROR_S, elapsed_s)
+    elapsed_s = ceilings.max_elapsed_s(_at(100.0, 50.0), _at(0.4, 52.0))
+    self.assertAlmostEqual(2.0 + ceilings._DEFAULT_WALL_ERROR_S, elapsed_s)
 
   def test_boot_clock_may_start_anew_anywhere(self):
     # Taken for the time since the host was switched on, a boot clock that
     # began at 54,600 s left a negative time: the clocks seemed to tell
     # nothing, and all that the dead router held was lost.
     issued, started = _at(55_733.7, 293.9, 0.01), _at(54_640.0, 295.8, 0.01)
-    elapsed_s = ceilings.most_elapsed_s(issued, started)
+    elapsed_s = ceilings.max_elapsed_s(issued, started)
     self.assertAlmostEqual(1.92, elapsed_s)
 
   def test_agreed_clocks_are_trusted_more(self):
     issued, started = _at(100.0, 50.0, 0.25), _at(0.4, 52.0, 0.25)
-    found_s = ceilings.most_elapsed_s(issued, started)
+    found_s = ceilings.max_elapsed_s(issued, started)
     self.assertAlmostEqual(2.5, found_s)
     alone = issued._replace(error_s=None)
-    self.assertAlmostEqual(7.0, ceilings.most_elapsed_s(alone, started))
+    self.assertAlmostEqual(7.0, ceilings.max_elapsed_s(alone, started))
 
   def test_stepped_wall_clock_of_one_boot_is_not_believed(self):
     # The boot clock says 2 s and the wall clock -0.4: no one boot, as far
     # as one can tell, so the wall clock counts with its error.
-    elapsed_s = ceilings.most_elapsed_s(_at(100.0), _at(102.0, 99.6))
+    elapsed_s = ceilings.max_elapsed_s(_at(100.0), _at(102.0, 99.6))
     self.assertTrue(elapsed_s >= 2.0, elapsed_s)
 
   def test_clock_far_in_the_past_tells_nothing(self):
-    self.assertIsNone(ceilings.most_elapsed_s(_at(100.0), _at(0.4, 10.0)))
+    self.assertIsNone(ceilings.max_elapsed_s(_at(100.0), _at(0.4, 10.0)))
 
   @given(
       st.floats(0, 20),
@@ -85,7 +85,7 @@
     issued = _at(100.0, 100.0 + before)
     boot_s = 0.4 if power else 100.0 + passed
     started = _at(boot_s, 100.0 + passed + after)
-    elapsed_s = ceilings.most_elapsed_s(issued, started)
+    elapsed_s = ceilings.max_elapsed_s(issued, started)
     self.assertTrue(elapsed_s is None or elapsed_s >= passed - 1e-6)
 
 
@@ -140,7 +140,7 @@
     newer = ceilings.Ceiling(300, 2.0, 30.0, _at(52.0))
     older = ceilings.Ceiling(180, 2.0, 30.0, _at(50.0))
     found = _granted(newer)
-    after = change.apply(ledger.Bill("a:1:1", 40, {}, older), found)
+    after = change.apply(ledger.ReportUse("a:1:1", 40, {}, older), found)
     self.assertEqual(newer, ledger.ceiling(after, "a:1:1"))
 
   def test_settled_grant_leaves_no_promise(self):
@@ -162,22 +162,22 @@
 
   def _issue(self, tokens, at_s, rate=30.0):
     ceiling = ceilings.Ceiling(tokens, 2.0, rate, _at(at_s))
-    self.table.issue("a:1:1", ceiling, at_s)
+    self.table.add_ceiling("a:1:1", ceiling, at_s)
     return ceiling
 
   def test_no_more_is_drawn_than_was_promised(self):
     self._issue(100, 0.0)
     self.assertIsNotNone(self.table.reserve("b", 100))
     self.assertIsNone(self.table.reserve("b", 1))
-    self.assertEqual((0, ""), self.table.hand_on("b", "c:1:1", 1, 10, 0.5))
+    self.assertEqual((0, ""), self.table.delegate("b", "c:1:1", 1, 10, 0.5))
 
   def test_more_may_be_drawn_the_longer_the_store_is_away(self):
     self._issue(100, 0.0)
-    self.table.look("b", 2.0)
+    self.table.update_ceiling("b", 2.0)
     self.assertEqual(100, self.row.free)
-    self.table.look("b", 6.0)
+    self.table.update_ceiling("b", 6.0)
     self.assertEqual(220, self.row.free)
-    self.table.look("b", 1e6)
+    self.table.update_ceiling("b", 1e6)
     self.assertEqual(600, self.row.free)
 
   def test_promise_of_unknown_fate_and_the_one_before_it_both_bind(self):
@@ -185,30 +185,30 @@
     first = self._issue(100, 0.0)
     second = self._issue(300, 1.0)
     self.assertEqual(100, self.row.free)
-    self.table.confirm("a:1:1", first, 1.1)
+    self.table.confirm_ceiling("a:1:1", first, 1.1)
     self.assertEqual(100, self.row.free)
-    self.table.confirm("a:1:1", second, 1.2)
+    self.table.confirm_ceiling("a:1:1", second, 1.2)
     self.assertEqual(300, self.row.free)
 
   def test_promise_that_was_not_written_does_not_bind(self):
     self._issue(200, 0.0)
     lower = self._issue(50, 1.0)
     self.assertEqual(50, self.row.free)
-    self.table.withdraw("a:1:1", lower, 1.1)
+    self.table.withdraw_ceiling("a:1:1", lower, 1.1)
     self.assertEqual(200, self.row.free)
 
   def test_near_the_end_of_a_budget_little_is_at_risk(self):
     # 120 of 1,000 tokens are left and 50 a second drawn: two seconds of draw
     # would be all but 20 of it, lost at the next death. A fourth of what is
     # left, times the part that is left, is 3.6.
-    view = holding.View(1_000, 100, 20, 50.0, 0.0, 10.0, holders=1)
-    self.assertEqual(3, holding.slack(view, self.config))
-    self.assertEqual(110, holding.slack(view._replace(free=980), self.config))
+    sizing = holding.SizingInput(1_000, 100, 20, 50.0, 0.0, 10.0, holders=1)
+    self.assertEqual(3, holding.slack(sizing, self.config))
+    self.assertEqual(110, holding.slack(sizing._replace(free=980), self.config))
 
   def test_holders_that_draw_alike_risk_their_parts_together(self):
     # Four draw alike on the 400 that are left: each may risk a fourth of 40.
-    view = holding.View(1_000, 370, 30, 50.0, 150.0, 10.0, holders=4)
-    self.assertEqual(10, holding.slack(view, self.config))
+    sizing = holding.SizingInput(1_000, 370, 30, 50.0, 150.0, 10.0, holders=4)
+    self.assertEqual(10, holding.slack(sizing, self.config))
 
   def test_renewed_before_it_runs_out(self):
     self._issue(100, 0.0)
--- a/tests/test_drawing.py
+++ b/tests/test_drawing.py
@@ -2,7 +2,7 @@
 
 import testtools
 
-from mustardfall.budget import drawing
+from mustardfall.budget import acquiring
 from tests import test_pool_states
 
 
@@ -17,12 +17,12 @@
     # What the caller sees: 429 from one router for one budget, for ever. The
     # loop that takes grants failed and took the task of a grant with it
     # before its first step; started again, it took the grant for under way.
-    drawer = self.machine.world.pools["r1"].drawer
-    drawer._flights["b"] = drawing._Flight()
+    acquirer = self.machine.world.pools["r1"].acquirer
+    acquirer._pending_grants["b"] = acquiring._PendingGrant()
     self.machine.reserve("r1", 20)
     self.machine.reserve("r1", 20)
     self.assertEqual(2, len(self.machine.open))
-    self.assertFalse(drawer.busy)
+    self.assertFalse(acquirer.busy)
 
   def test_failed_grant_keeps_nobody_waiting(self):
     # The store turns this router away: its callers go on to a deputy at
--- a/tests/test_hold.py
+++ b/tests/test_hold.py
@@ -22,7 +22,7 @@
 )
 
 
-def _view(**known) -> holding.View:
+def _view(**known) -> holding.SizingInput:
   """Returns what a holder knows of a budget that nobody drew on yet."""
   usual = {
       "limit": _LIMIT,
@@ -30,10 +30,10 @@
       "held": 0,
       "rate": 0.0,
       "others_rate": 0.0,
-      "request": 5_000.0,
+      "mean_request": 5_000.0,
       "holders": 1,
   }
-  return holding.View(**{**usual, **known})
+  return holding.SizingInput(**{**usual, **known})
 
 
 def _target(**known) -> int:
@@ -73,7 +73,7 @@
     # of that is written off with it, so it asks for no more.
     table = allotment.Table("r:e", _CONFIG)
     table.add("b", "r:e:1", 200_000, 0.0)
-    table.hand_on("b", "s:e:1", 1, 150_000, 1.0)
+    table.delegate("b", "s:e:1", 1, 150_000, 1.0)
     table.reserve("b", 50_000)
     self.assertEqual(0, table.free("b"))
     self.assertEqual(200_000, table.at_risk("b"))
@@ -85,8 +85,8 @@
     table.add("b", "r:e:1", 100, 0.0)
     reservation = table.reserve("b", 60)
     table.settle(reservation, 50)
-    table.hand_on("b", "s:e:1", 1, 20, 1.0)
-    table.take_back("s:e:1", 15)
+    table.delegate("b", "s:e:1", 1, 20, 1.0)
+    table.settle_delegated("s:e:1", 15)
     self.assertEqual(35, table.at_risk("b"))
 
 
@@ -98,6 +98,6 @@
     # again. The store of a small fleet takes 400 writes a second for all.
     config = settings.Allotment(report_s=0.5)
     for routers in (9, 12, 78, 760):
-      writes = routers / holding.report_s(config, routers)
+      writes = routers / holding.report_interval_s(config, routers)
       self.assertTrue(writes <= 400 / 10, (routers, writes))
-    self.assertEqual(0.5, holding.report_s(config, 9))
+    self.assertEqual(0.5, holding.report_interval_s(config, 9))
--- a/tests/test_known.py
+++ b/tests/test_known.py
@@ -100,12 +100,12 @@
     found = self._found(
         grants={"c:1:1": 100}, lost={"d:1:1": 40}, ceilings={"d:1:1": ceiling}
     )
-    self.budget_view.note("b", found)
-    self.assertEqual(300 - 10, self.budget_view.most_left("b", 0.01))
+    self.budget_view.update("b", found)
+    self.assertEqual(300 - 10, self.budget_view.max_available("b", 0.01))
 
   def test_what_was_written_off_for_good_does_not_count(self):
-    self.budget_view.note("b", self._found(lost={"d:1:1": 40}))
-    self.assertEqual(260 - 10, self.budget_view.most_left("b", 0.01))
+    self.budget_view.update("b", self._found(lost={"d:1:1": 40}))
+    self.assertEqual(260 - 10, self.budget_view.max_available("b", 0.01))
 
 
 class ComebackTest(testtools.TestCase):
@@ -155,21 +155,21 @@
   def test_in_a_small_fleet_the_owner_only(self):
     found = self._known(9)
     budget = self._not_mine(found)
-    self.assertEqual([self.view.owner(budget)], found.asked_first(budget))
+    self.assertEqual([self.view.owner(budget)], found.preferred_sources(budget))
 
   def test_in_a_large_fleet_its_deputies_too(self):
     found = self._known(78)
     budget = self._not_mine(found)
     owner, *deputies = self.view.candidates(budget)
-    self.assertEqual([owner, *deputies], found.asked_first(budget))
+    self.assertEqual([owner, *deputies], found.preferred_sources(budget))
     self.view.suspect(owner.life)
-    self.assertEqual(deputies, found.asked_first(budget))
+    self.assertEqual(deputies, found.preferred_sources(budget))
     for deputy in deputies:
       self.view.suspect(deputy.life)
-    self.assertEqual([], found.asked_first(budget))
+    self.assertEqual([], found.preferred_sources(budget))
 
   def test_an_owner_goes_to_the_store_itself(self):
     found = self._known(78)
     names = (f"b{i}" for i in range(5000))
     own = next(n for n in names if found.owner(n) is None)
-    self.assertEqual([], found.asked_first(own))
+    self.assertEqual([], found.preferred_sources(own))
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -42,7 +42,9 @@
 
   def test_shrunk_grant_that_was_billed_before(self):
     after = _after(
-        _GRANT, ledger.Bill("r1:x:1", 30), ledger.Shrink("r1:x:1", 400, 350)
+        _GRANT,
+        ledger.ReportUse("r1:x:1", 30),
+        ledger.Shrink("r1:x:1", 400, 350),
     )
     self.assertEqual({"r1:x:1": 20}, after["grants"])
     self.assertEqual((30, 950), (after["spent"], ledger.headroom(after)))
@@ -60,7 +62,7 @@
     # its part, but not of which grant. The part must not stay out for ever.
     part = ledger.SettlePart("", "r2:y:1", 100, 0)
     after = _after(
-        _GRANT, ledger.Reduce("r1:x:1", 40, {"r2:y:1": 100}), part, part
+        _GRANT, ledger.Release("r1:x:1", 40, {"r2:y:1": 100}), part, part
     )
     self.assertEqual({}, after["grants"])
     self.assertEqual((40, 960), (after["spent"], ledger.headroom(after)))
@@ -171,9 +173,9 @@
   def test_stopping_holder_leaves_parts_to_their_holders(self):
     # Router 1 stops while router 2 still holds 100 of its 400 tokens:
     # 300 come back at once, the part is settled by router 2 later.
-    stopped = _after(_GRANT, ledger.Reduce("r1:x:1", 50, {"r2:y:1": 100}))
+    stopped = _after(_GRANT, ledger.Release("r1:x:1", 50, {"r2:y:1": 100}))
     after = _after(
-        _GRANT, ledger.Reduce("r1:x:1", 50, {"r2:y:1": 100}), _PART, _PART
+        _GRANT, ledger.Release("r1:x:1", 50, {"r2:y:1": 100}), _PART, _PART
     )
     self.assertEqual((50, 850), (stopped["spent"], ledger.headroom(stopped)))
     self.assertEqual((80, 920), (after["spent"], ledger.headroom(after)))
@@ -182,7 +184,7 @@
   def test_end_of_a_holder_repeated_late_is_billed_once(self):
     # The reply to a stopping router's last write is lost in a long
     # outage; many top-ups later it tries again. Its 50 are billed once.
-    end = ledger.Reduce("r1:x:1", 50, {"r2:y:1": 100})
+    end = ledger.Release("r1:x:1", 50, {"r2:y:1": 100})
     top_ups = [ledger.TopUp(1, f"op-{i}") for i in range(100)]
     after = _after(_GRANT, end, *top_ups, end)
     self.assertEqual(50, after["spent"])
@@ -190,7 +192,7 @@
   def test_part_settled_before_its_holder_stops_leaves_no_grant(self):
     # Two routers stop at once: the part reaches the ledger before the
     # holder's own end does. No empty grant may stay behind.
-    after = _after(_GRANT, _PART, ledger.Reduce("r1:x:1", 50, {"r2:y:1": 100}))
+    after = _after(_GRANT, _PART, ledger.Release("r1:x:1", 50, {"r2:y:1": 100}))
     self.assertEqual((80, {}), (after["spent"], after["grants"]))
 
 
--- a/tests/test_ledger_limits.py
+++ b/tests/test_ledger_limits.py
@@ -56,16 +56,16 @@
   def test_only_what_was_not_reported_is_written_off(self):
     limit = ledger.Limit(100, 1)
     after = change.apply(_grant("a:1:1", 40, limit), None)
-    after = change.apply(ledger.Bill("a:1:1", 30), after)
+    after = change.apply(ledger.ReportUse("a:1:1", 30), after)
     after = change.apply(ledger.WriteOff("a:1:1"), after)
     self.assertEqual((30, 10), (after["spent"], ledger.lost(after)))
     self.assertEqual(60, ledger.headroom(after))
 
   def test_repeated_report_counts_once(self):
     after = change.apply(_grant("a:1:1", 40, ledger.Limit(100, 1)), None)
-    after = change.apply(ledger.Bill("a:1:1", 30), after)
-    self.assertIsNone(change.apply(ledger.Bill("a:1:1", 30), after))
-    self.assertIsNone(change.apply(ledger.Bill("a:1:1", 20), after))
+    after = change.apply(ledger.ReportUse("a:1:1", 30), after)
+    self.assertIsNone(change.apply(ledger.ReportUse("a:1:1", 30), after))
+    self.assertIsNone(change.apply(ledger.ReportUse("a:1:1", 20), after))
 
   @given(
       st.lists(st.integers(0, 20), max_size=6),
@@ -84,13 +84,13 @@
     for step in steps:
       used += step
       before = ledger.headroom(after)
-      after = change.apply(ledger.Bill("a:1:1", used), after) or after
+      after = change.apply(ledger.ReportUse("a:1:1", used), after) or after
       self.assertEqual(before, ledger.headroom(after))
     if written_off:
       after = change.apply(ledger.WriteOff("a:1:1"), after)
     if stopped:
       out = {"b:1:1": 20}
-      after = change.apply(ledger.Reduce("a:1:1", used, out), after)
+      after = change.apply(ledger.Release("a:1:1", used, out), after)
       settle = ledger.SettlePart("a:1:1", "b:1:1", 20, part)
       after = change.apply(settle, after)
       used += part
@@ -105,7 +105,7 @@
     # The owner reports a part that ended with it; its holder, which did not
     # hear so, settles it in the ledger as well.
     after = change.apply(_grant("a:1:1", 40, ledger.Limit(100, 1)), None)
-    after = change.apply(ledger.Bill("a:1:1", 5, {"b:1:1": 7}), after)
+    after = change.apply(ledger.ReportUse("a:1:1", 5, {"b:1:1": 7}), after)
     before = ledger.headroom(after)
     settle = ledger.SettlePart("a:1:1", "b:1:1", 10, 7)
     after = change.apply(settle, after)
--- a/tests/test_pool_states.py
+++ b/tests/test_pool_states.py
@@ -196,9 +196,9 @@
   def _take_in(self, router, key, value):
     pool_ = self.world.pools[router]
     if key == pool_.renewer.key:
-      pool_.renewer.take(value)
+      pool_.renewer.update(value)
     else:
-      pool_.sweep("b", value)
+      pool_.update_from_ledger("b", value)
 
   def _limit_of(self, router):
     """Returns the limit that `router` knows; None: the ledger's own."""
@@ -219,10 +219,10 @@
     async with anyio.create_task_group() as tg:
       for name in up:
         tg.start_soon(self.writers[name].run)
-        tg.start_soon(self.world.pools[name].drawer.run)
+        tg.start_soon(self.world.pools[name].acquirer.run)
       result = await fn()
       with anyio.move_on_after(1.0):
-        while any(self.world.pools[name].drawer.busy for name in up):
+        while any(self.world.pools[name].acquirer.busy for name in up):
           await anyio.sleep(0.001)
       tg.cancel_scope.cancel()
     return result
@@ -263,7 +263,7 @@
         if self._up(name):
           self.world.pools[name].tick(seconds)
           await self.world.pools[name].settle_parts()
-          await self.world.pools[name].reviewer.review_noted()
+          await self.world.pools[name].reviewer.review_pending()
           await self.writers[name].flush(0.05)
 
     self._do(go)
@@ -310,7 +310,7 @@
     self.world.lose = ""
     self.world.gone = set(self.world.dead)
     for pool_ in self.world.pools.values():
-      pool_.drawer.stopping = True  # a refill would be a grant not due yet
+      pool_.acquirer.stopping = True  # a refill would be a grant not due yet
     self.server.change_faults({"blocked": [], "lose_replies": 0, "down": False})
     for router, reservation in self.open:
       self.generated += reservation.tokens
@@ -323,7 +323,7 @@
           if self._up(name):
             self.world.pools[name].tick(2.0)
             await self.world.pools[name].settle_parts()
-            await self.world.pools[name].reviewer.review_noted()
+            await self.world.pools[name].reviewer.review_pending()
             await self.writers[name].flush(1.0)
 
     await self._with_loops(go)
--- a/tests/test_renewals.py
+++ b/tests/test_renewals.py
@@ -68,7 +68,7 @@
     found = change.apply(
         ledger.Grant("a:1:1", 1, 600, 1.0, 0.0, _LIMIT, 0, ceiling), None
     )
-    found = change.apply(ledger.Bill("a:1:1", 100), found)
+    found = change.apply(ledger.ReportUse("a:1:1", 100), found)
     renewed = {"a:1": _at(58.0)}
     review = ledger.Reclaim("a:2", _at(59.0), renewed)
     self.assertEqual(80, ledger.lost(change.apply(review, found)))
@@ -89,7 +89,9 @@
     )
     self.table.add("b", "a:1:1", 600, self.clock.monotonic())
     now = self.clock.monotonic()
-    self.table.issue("a:1:1", ceilings.Ceiling(100, 2.0, 30.0, _at(0)), now)
+    self.table.add_ceiling(
+        "a:1:1", ceilings.Ceiling(100, 2.0, 30.0, _at(0)), now
+    )
 
   def _renew(self) -> int:
     """Returns how many renewals were sent so far."""
@@ -98,11 +100,11 @@
 
   def _answer(self) -> None:
     _, asked = self.writer.posted[-1]
-    self.renewer.take(change.apply(asked, None))
+    self.renewer.update(change.apply(asked, None))
 
   def test_holder_counts_from_its_renewal_at_once(self):
     self.clock.advance(datetime.timedelta(seconds=4))
-    self.table.look("b", self.clock.monotonic())
+    self.table.update_ceiling("b", self.clock.monotonic())
     self.assertEqual(160, self.table.rows["a:1:1"].free)
     self.assertEqual(1, self._renew())
     self.assertEqual(100, self.table.rows["a:1:1"].free)
@@ -111,7 +113,7 @@
     self.assertEqual(1, self._renew())
     self.clock.advance(datetime.timedelta(seconds=4))
     self.assertEqual(1, self._renew())
-    self.table.look("b", self.clock.monotonic())
+    self.table.update_ceiling("b", self.clock.monotonic())
     self.assertEqual(160, self.table.rows["a:1:1"].free)
     self._answer()
     self.assertEqual(2, self._renew())
@@ -120,12 +122,12 @@
     # Out of touch it drew more than it had promised at first. Renewed, the
     # promise would say that it had not.
     self.clock.advance(datetime.timedelta(seconds=4))
-    self.table.look("b", self.clock.monotonic())
+    self.table.update_ceiling("b", self.clock.monotonic())
     self.assertIsNotNone(self.table.reserve("b", 150))
     self.assertEqual(0, self._renew())
 
   def test_nothing_promised_nothing_renewed(self):
-    self.table.rows["a:1:1"].promises.clear()
+    self.table.rows["a:1:1"].issued_ceilings.clear()
     self.assertEqual(0, self._renew())
 
   def _read_earlier(self):
@@ -133,7 +135,7 @@
 
     async def _day():
       began = anyio.current_time()
-      found = await self.renewer.earlier(1.5)
+      found = await self.renewer.earlier_renewals(1.5)
       return dict(found), anyio.current_time() - began
 
     result = []
