--- a/mustardfall/budget/allotment.py
+++ b/mustardfall/budget/allotment.py
@@ -1,10 +1,10 @@
-"""A router's allotments: tokens granted to it from budgets, spent locally.
+"""A router's allotments: tokens granted from budgets and spent locally.
 
-Requests reserve from an allotment before they are forwarded and settle
-the real count after, all in memory. Other routers may hold parts of an
-allotment, handed on to them by this one. The table holds a row per
-allotment; `tick` runs the systems over it: age rows out, hand finished
-ones over for settlement, and update each budget's draw rate.
+Requests reserve tokens before they are forwarded and settle the actual usage
+afterwards, all in memory. A router may delegate parts of an allotment to other
+routers. The table has one row per allotment. `tick` updates each budget's draw
+rate, retires rows whose term has ended and removes finished rows, which the
+caller then settles.
 """
 
 import dataclasses
@@ -16,25 +16,27 @@
 from mustardfall.budget import ceilings as ceilings_lib
 
 _INITIAL_QUIET_FRACTION = 0.33
-"""Part of the averaging time for which a budget is held to have been quiet
-before it was first drawn on."""
+"""Fraction of the averaging time that a budget is assumed to have been idle
+before its first reservation."""
 _MIN_RATE_TOKENS_S = 0.5
-"""Tokens a second below which a budget's rate is forgotten."""
+"""Tokens per second below which a budget's rate is dropped once no row is left.
+"""
 _LOW_SLACK_FRACTION = 0.4
-"""A promise is renewed ahead of time when this part of its slack is left."""
+"""A ceiling is raised early once less than this fraction of its slack is left.
+"""
 _REQUEST_MEAN_WEIGHT = 0.1
-"""Weight of the newest request in the mean size of a budget's requests."""
+"""Weight of the latest request in the moving average of request sizes."""
 _MAX_REMEMBERED_PARTS = 20_000
-"""Ended parts remembered, to know a late or repeated message by."""
+"""Ended parts that are remembered to detect late or repeated messages."""
 
 
 @dataclasses.dataclass
 class Part:
-  """Tokens of a row handed on to another router, until it settles them."""
+  """Tokens of a row delegated to another router and not yet settled by it."""
 
   tokens: int
   holder: str
-  """The life (`name:epoch`) of the router that holds it."""
+  """Life (`name:epoch`) of the router that holds the part."""
 
 
 class IssuedCeiling(NamedTuple):
@@ -42,9 +44,9 @@
 
   ceiling: ceilings_lib.Ceiling
   at: float
-  """When it was issued, monotonic seconds."""
+  """Time of issue, monotonic seconds."""
   slack: int
-  """Tokens that it allowed for beyond those in use then."""
+  """Tokens that it allowed beyond those in use at the time of issue."""
 
 
 @dataclasses.dataclass
@@ -56,54 +58,59 @@
   granted: int
   acquired_at: float
   source: str = ""
-  """The life of the router it is a part from; empty: the KV's ledger."""
+  """Life of the router that delegated this part; empty if the grant came from
+  the ledger."""
   source_gid: str = ""
-  """That router's grant, to settle in the ledger when it has gone."""
+  """Grant of that router, under which the part is settled in the ledger once
+  the router is gone."""
   own_drawn: int = 0
-  """Tokens reserved by own requests in flight plus those they used."""
+  """Tokens reserved by this router's requests in flight plus those used by its
+  finished requests."""
   used: int = 0
-  """Tokens that own requests which have ended used."""
+  """Tokens used by this router's finished requests."""
   in_flight: int = 0
   parts: dict[str, Part] = dataclasses.field(default_factory=dict)
   parts_used: dict[str, int] = dataclasses.field(default_factory=dict)
   lost_parts: dict[str, int] = dataclasses.field(default_factory=dict)
-  """Tokens of parts whose holder has gone; it may yet come back."""
+  """Tokens of parts whose holder is gone; the holder may still return."""
   delegated: int = 0
-  """Tokens of open and lost parts plus those that ended parts used."""
+  """Tokens of open and lost parts plus those used of ended parts."""
   retiring: bool = False
   settled_in_ledger: bool = False
-  """Whether it is a part that was settled in the ledger."""
+  """Whether this is a part that was settled in the ledger."""
   issued_ceilings: list[IssuedCeiling] = dataclasses.field(default_factory=list)
-  """Ceilings that may be in force: the one that the ledger was last seen
-  with, and later ones whose fate is not known yet."""
+  """Ceilings that may be in force: the one last seen in the ledger and later
+  ones whose write is unconfirmed."""
   ceiling: float = math.inf
-  """Tokens that may be in use by these promises, as of the last look."""
+  """Tokens that may be in use under these ceilings, as of the last
+  `update_ceiling`."""
   last_drawn_at: float = -math.inf
-  """When it was last drawn on, as of the last tick."""
+  """When a reservation or delegation was last made or in flight, as of the last
+  tick."""
   last_drawn: int = 0
   """Tokens in use at the last tick."""
 
   @property
   def drawn(self) -> int:
-    """Tokens in use: reserved, used or handed on."""
+    """Tokens in use: reserved, used or delegated."""
     return self.own_drawn + self.delegated
 
   @property
   def undrawn(self) -> int:
-    """Tokens not yet set aside, whether or not they may be now."""
+    """Granted tokens that are not in use, including those above the ceiling."""
     return self.granted - self.drawn
 
   @property
   def free(self) -> int:
-    """Tokens that may be set aside now."""
+    """Tokens that may be reserved or delegated now."""
     return int(min(self.granted, self.ceiling)) - self.drawn
 
   def update_ceiling(self, now: float, renewed_at: float) -> None:
-    """Takes note of what the promises allow by now.
+    """Recomputes how many tokens the issued ceilings allow now.
 
-    All that may be in force must be kept: a report whose answer was lost
-    may stand in the ledger, or the one before it. They count from their
-    issue or the last renewal.
+    The lowest one applies: after a lost reply the ledger may hold either the
+    new ceiling or the previous one. Each grows from its issue or from the last
+    renewal, whichever is later.
     """
     allowed = (
         p.ceiling.allowed_after(now - max(p.at, renewed_at))
@@ -113,22 +120,22 @@
 
   @property
   def within_issued_ceilings(self) -> bool:
-    """Whether no more is in use than promises allowed when they were made."""
+    """Whether use is within all ceilings as issued, without their growth."""
     return all(self.drawn <= p.ceiling.tokens for p in self.issued_ceilings)
 
   @property
   def unconsumed(self) -> int:
-    """Tokens not used for certain: free, reserved or handed on."""
+    """Tokens that are free, reserved or delegated, but not known to be used."""
     return self.granted - self.used - sum(self.parts_used.values())
 
   @property
   def idle(self) -> bool:
-    """Whether nothing in flight, here or at other routers, draws on it."""
+    """Whether no request in flight and no delegated part uses the row."""
     return self.in_flight == 0 and not self.parts
 
 
 class Reservation(NamedTuple):
-  """Tokens set aside for one request from one allotment."""
+  """Tokens reserved for one request from one allotment."""
 
   budget: str
   gid: str
@@ -136,7 +143,7 @@
 
 
 class OutstandingPart(NamedTuple):
-  """A part that another router still held when this one stopped."""
+  """A part that another router still held when this router stopped."""
 
   budget: str
   gid: str
@@ -144,18 +151,18 @@
 
 
 class Settled(NamedTuple):
-  """What one request was billed, and by how much it overran."""
+  """The tokens billed for one request, and its overrun."""
 
   billed: int
   overrun: int
-  """Tokens an engine generated beyond the reservation."""
+  """Tokens that the engine generated beyond the reservation."""
 
 
 class Table:
   """The allotments of one router life, and each budget's draw rate.
 
   Args:
-    life: the router's life (`name:epoch`); grant ids start with it.
+    life: the router's life (`name:epoch`), the prefix of its grant ids.
     config: how grants are sized.
   """
 
@@ -165,73 +172,81 @@
     self._ids = itertools.count(1)
     self.rows: dict[str, Row] = {}
     self.by_budget: dict[str, list[str]] = {}
-    """Budget name to its rows' gids, oldest first."""
+    """Budget name to the grant ids of its rows, oldest first."""
     self.rate: dict[str, float] = {}
-    """Budget name to tokens drawn per second here (moving average)."""
+    """Budget name to tokens drawn per second by this router (moving average).
+    """
     self.mean_request: dict[str, float] = {}
-    """Budget name to tokens that a request here reserves (moving average)."""
+    """Budget name to tokens reserved per request by this router (moving
+    average)."""
     self._averaging_window_s: dict[str, float] = {}
-    """Seconds that each rate is averaged over, by weight."""
+    """Budget name to the effective length of its rate's averaging window,
+    seconds."""
     self._drawn_since_tick: dict[str, int] = {}
     self._part_row: dict[str, str] = {}
     self._ended_parts: dict[str, None] = {}
     self.renewed_at = -math.inf
-    """When all promises were last renewed, as far as may be in force."""
+    """Time of the last renewal, which may be unconfirmed, monotonic seconds."""
     self.outstanding_parts: dict[str, OutstandingPart] = {}
-    """Parts still with others when this router stopped."""
+    """Parts that other routers still held when this router stopped."""
     self._written_off_parts: dict[str, str] = {}
-    """Parts written off with a row that is settled, and their budgets."""
+    """Parts written off together with a settled row, and their budgets."""
 
   def new_gid(self) -> str:
-    """Returns a grant id unique to this router's life."""
+    """Returns a grant id that is unique within this router's life."""
     return f"{self._life}:{next(self._ids)}"
 
   def grant_size(self, budget: str, tokens: int) -> int:
-    """Returns the grant size to ask for: the horizon's draw, at least."""
+    """Returns the grant size to ask for.
+
+    This is the draw over the horizon, but at least the minimum grant and
+    `tokens`.
+    """
     rate = self.rate.get(budget, 0.0)
     return max(
         self._config.min_tokens, tokens, int(rate * self._config.horizon_s)
     )
 
   def part_size(self, budget: str, tokens: int) -> int:
-    """Returns the size to ask an owner for.
+    """Returns the part size to ask an owner for.
 
-    Without a floor, unlike a grant: another ask costs a millisecond, and
-    idle tokens of a small budget spread over many routers would refuse
-    requests that it covers.
+    There is no minimum, unlike for a grant. Another request to the owner costs
+    a millisecond, while idle tokens of a small budget spread over many routers
+    would cause refusals of requests that the budget covers.
     """
     rate = self.rate.get(budget, 0.0)
     return max(tokens, int(rate * self._config.part_horizon_s))
 
   def update_ceiling(self, budget: str, now: float) -> None:
-    """Takes note of what promises allow of the budget's rows by now."""
+    """Recomputes the ceilings of the budget's rows for time `now`."""
     for gid in self.by_budget.get(budget, ()):
       self.rows[gid].update_ceiling(now, self.renewed_at)
 
   def free(self, budget: str) -> int:
-    """Returns the budget's free tokens in live rows here."""
+    """Returns the tokens that may be reserved now in the budget's active rows."""
     rows = [self.rows[gid] for gid in self.by_budget.get(budget, ())]
     return sum(row.free for row in rows if not row.retiring)
 
   def at_risk(self, budget: str) -> int:
-    """Returns what would be lost if this router died now.
+    """Returns the tokens that would be lost if this router died now.
 
-    Free tokens, parts that others hold, and what requests in flight have
-    reserved: only what was used for certain is not lost.
+    These are free tokens, parts held by others and the reservations of requests
+    in flight; tokens known to be used are not lost.
     """
     rows = [self.rows[gid] for gid in self.by_budget.get(budget, ())]
     return sum(max(row.unconsumed, 0) for row in rows if not row.source)
 
   def undrawn(self, budget: str) -> int:
-    """Returns the budget's tokens here that nothing has set aside."""
+    """Returns the budget's tokens in active rows that are not in use."""
     rows = [self.rows[gid] for gid in self.by_budget.get(budget, ())]
     return sum(row.undrawn for row in rows if not row.retiring)
 
   def running_low(self, budget: str) -> bool:
-    """Whether the budget's tokens here are under the low mark.
+    """Whether the budget's unused tokens are below the low mark.
 
-    A share of what a grant or part should cover, not of what was granted:
-    a grant that grows has long been used for the most part.
+    The low mark is a share of the size that a grant or part should have, not of
+    the granted tokens: most of a grant that has grown repeatedly is already
+    used.
     """
     rows = [self.rows[gid] for gid in self.by_budget.get(budget, ())]
     owned = any(not row.source for row in rows)
@@ -240,7 +255,7 @@
     return undrawn < size * self._config.low_mark
 
   def nears_ceiling(self, budget: str) -> bool:
-    """Whether the budget's grant is about to be stopped by its promise."""
+    """Whether the ceiling of the budget's grant will soon block requests."""
     row = self.growable_row(budget)
     if row is None or row.ceiling >= row.granted:
       return False
@@ -250,15 +265,15 @@
 
   @property
   def has_issued_ceilings(self) -> bool:
-    """Whether any promise may be in force."""
+    """Whether any issued ceiling may be in force."""
     return any(row.issued_ceilings for row in self.rows.values())
 
   def within_issued_ceilings(self) -> bool:
-    """Whether no more is in use than promises allowed when they were made."""
+    """Whether all rows are within their ceilings as issued."""
     return all(row.within_issued_ceilings for row in self.rows.values())
 
   def renew_ceilings(self, now: float) -> None:
-    """Has all promises count from `now`."""
+    """Restarts the growth of all ceilings at `now`."""
     self.renewed_at = now
     for row in self.rows.values():
       row.update_ceiling(now, now)
@@ -266,7 +281,7 @@
   def add_ceiling(
       self, gid: str, ceiling: ceilings_lib.Ceiling, now: float
   ) -> None:
-    """Notes a promise that is about to be sent."""
+    """Records a ceiling that is about to be sent to the ledger."""
     row = self.rows.get(gid)
     if row is not None:
       slack = ceiling.tokens - row.drawn
@@ -276,7 +291,7 @@
   def withdraw_ceiling(
       self, gid: str, ceiling: ceilings_lib.Ceiling, now: float
   ) -> None:
-    """Forgets a promise that was not written."""
+    """Removes a ceiling that was not written to the ledger."""
     row = self.rows.get(gid)
     if row is not None:
       row.issued_ceilings = [
@@ -287,7 +302,7 @@
   def confirm_ceiling(
       self, gid: str, ceiling: ceilings_lib.Ceiling, now: float
   ) -> None:
-    """Notes which promise a ledger was seen with; earlier ones are over."""
+    """Records the ceiling seen in the ledger and drops the earlier ones."""
     row = self.rows.get(gid)
     if row is None:
       return
@@ -296,12 +311,12 @@
     ]
     if any(p.ceiling == ceiling for p in later):
       while later[0].ceiling != ceiling:
-        del later[0]  # issued in the same moment, before it
+        del later[0]  # same issue time, but issued before it
     row.issued_ceilings = later
     row.update_ceiling(now, self.renewed_at)
 
   def reserve(self, budget: str, tokens: int) -> Reservation | None:
-    """Sets `tokens` aside from a row of the budget that has room."""
+    """Reserves `tokens` from a row of the budget that has enough free tokens."""
     row = self._find_row(budget, tokens)
     if row is None:
       return None
@@ -313,7 +328,7 @@
     return Reservation(budget, row.gid, tokens)
 
   def can_reserve(self, budget: str, tokens: int) -> bool:
-    """Whether a row of the budget could take a reservation of `tokens`."""
+    """Whether a row of the budget has `tokens` free."""
     return self._find_row(budget, tokens) is not None
 
   def _find_row(
@@ -333,11 +348,11 @@
     )
 
   def settle(self, reservation: Reservation, used: int) -> Settled:
-    """Ends a reservation and bills what was used of it, all of it.
+    """Ends a reservation and bills all tokens used.
 
-    An engine that generated more than it was allowed is billed in full:
-    the overrun is the only way spend could pass a budget, so it must be
-    seen. Policies that weigh overspend keep a margin for it.
+    An engine that generated more than it was allowed is billed in full. An
+    overrun is the only way that spending can exceed a budget, so it must be
+    visible. Policies that prefer to avoid overspend keep a margin for it.
     """
     row = self.rows[reservation.gid]
     row.own_drawn += used - reservation.tokens
@@ -355,7 +370,7 @@
       source: str = "",
       source_gid: str = "",
   ) -> None:
-    """Records a new allotment; idle rows of the budget retire for it."""
+    """Adds a row for a new allotment and retires the budget's idle rows."""
     for old in self.by_budget.get(budget, ()):
       if self.rows[old].idle:
         self.rows[old].retiring = True
@@ -365,7 +380,7 @@
     self.by_budget.setdefault(budget, []).append(gid)
 
   def growable_row(self, budget: str) -> Row | None:
-    """Returns the row of the budget that further grants go to, if any."""
+    """Returns the budget's row that further grants enlarge, if any."""
     for gid in reversed(self.by_budget.get(budget, ())):
       row = self.rows[gid]
       if not row.source and not row.retiring:
@@ -373,10 +388,10 @@
     return None
 
   def grow(self, gid: str, granted: int, now: float) -> None:
-    """Notes what the ledger shows as granted to a row.
+    """Updates a row to the size that the ledger shows.
 
-    A grant only grows while its holder lives, so an older sight of the
-    ledger is known by the smaller number.
+    A grant only grows while its holder lives, so a smaller number comes from an
+    older read of the ledger and is ignored.
     """
     row = self.rows.get(gid)
     if row is not None and granted > row.granted:
@@ -386,13 +401,14 @@
   def delegate(
       self, budget: str, part: str, least: int, want: int, share: float
   ) -> tuple[int, str]:
-    """Hands a part of a row on to another router.
+    """Delegates a part of a row to another router.
 
-    Safe to repeat: the same `part` gets the same answer, and a part
-    already ended gets nothing, so a late repeat cannot revive it.
+    Idempotent: the same `part` gets the same answer. A part that has ended gets
+    nothing, so that a late repeat cannot reopen it.
 
     Returns:
-      The tokens of the part and the row's gid; 0 when no row has `least`.
+      The tokens of the part and the grant id of the row; 0 if no row has
+      `least` free.
     """
     if part in self._part_row:
       row = self.rows[self._part_row[part]]
@@ -409,11 +425,11 @@
     return size, row.gid
 
   def settle_delegated(self, part: str, used: int) -> str | None:
-    """Ends a part; `used` of its tokens are billed, the rest is free.
+    """Ends a delegated part: `used` tokens are billed, the rest is free again.
 
     Returns:
-      The budget, when the part was written off and its row is settled:
-      the part is then to be settled in the ledger; else None.
+      The budget if the part was written off and its row is already settled, so
+      that the part must be settled in the ledger; otherwise None.
     """
     self._ended_parts[part] = None
     if len(self._ended_parts) > _MAX_REMEMBERED_PARTS:
@@ -429,22 +445,22 @@
     return None
 
   def budget_of(self, part: str) -> str | None:
-    """Returns the budget of a part that is out, or None."""
+    """Returns the budget of a delegated part, or None if the part has ended."""
     row = self.rows.get(self._part_row.get(part, ""))
     return None if row is None else row.budget
 
   def write_off(self, part: str) -> None:
-    """Counts a part as lost: its holder has gone, it seems."""
+    """Counts a part as lost because its holder is considered gone."""
     row = self.rows[self._part_row[part]]
     row.lost_parts[part] = row.parts.pop(part).tokens
 
   def holders(self, budget: str) -> set[str]:
-    """Returns the lives that hold parts of the budget's rows here."""
+    """Returns the lives that hold parts of the budget's rows."""
     rows = [self.rows[gid] for gid in self.by_budget.get(budget, ())]
     return {p.holder for row in rows for p in row.parts.values()}
 
   def parts_held_by(self, life: str) -> list[str]:
-    """Returns the parts that router life `life` holds."""
+    """Returns the ids of the parts held by router life `life`."""
     return [
         part
         for row in self.rows.values()
@@ -453,14 +469,14 @@
     ]
 
   def retire(self, budget: str) -> list[Row]:
-    """Retires the budget's rows; returns those that are idle, removed."""
+    """Retires the budget's rows; removes and returns the idle ones."""
     gids = list(self.by_budget.get(budget, ()))
     for gid in gids:
       self.rows[gid].retiring = True
     return [self._remove(gid) for gid in gids if self.rows[gid].idle]
 
   def pop_due_part(self, gid: str, now: float) -> Row | None:
-    """Removes and returns a part that is due and has nothing in flight."""
+    """Removes and returns an idle part whose term has ended; None otherwise."""
     row = self.rows[gid]
     if not row.source or not row.idle:
       return None
@@ -482,10 +498,10 @@
     return row
 
   def tick(self, now: float, elapsed_s: float) -> list[Row]:
-    """Runs the systems; returns rows finished, due to be settled.
+    """Updates rates and rows; returns the finished rows, which must be settled.
 
-    A row retires after its term; once retired with nothing in flight it
-    is removed here.
+    A row retires at the end of its term and is removed once it is retired and
+    idle.
     """
     self._update_rates(elapsed_s)
     for row in self.rows.values():
@@ -499,10 +515,10 @@
     return [self._remove(gid) for gid in finished]
 
   def _update_rates(self, elapsed_s: float) -> None:
-    """Averages what was drawn, newer seconds weighing more.
+    """Updates the moving averages of the draw rates.
 
-    A budget that was just drawn on for the first time is held to have been
-    quiet for a moment before, else one request would make a high rate.
+    A budget is assumed to have been idle before its first reservation;
+    otherwise a single request would yield a high rate.
     """
     kept = math.exp(-elapsed_s / self._config.rate_s)
     for budget in set(self.rate) | set(self._drawn_since_tick):
@@ -521,7 +537,7 @@
         self._averaging_window_s[budget] = averaged_s
 
   def clear(self) -> list[Row]:
-    """Removes and returns every row, for a graceful stop."""
+    """Removes and returns all rows, for a graceful stop."""
     rows = [self._remove(gid) for gid in list(self.rows)]
     for row in rows:
       for part, held in row.parts.items():
--- a/mustardfall/budget/ceilings.py
+++ b/mustardfall/budget/ceilings.py
@@ -1,15 +1,15 @@
-"""How much of a grant its holder may draw until it reports again.
-
-A grant bridges outages of the KV, so it is many times what its holder
-draws between two reports. Were the holder to die, all that it had not
-reported would have to be counted as used. So with each report the holder
-promises a *ceiling*: what it will have drawn at most, by the time that has
-passed since. Once it is known to be dead, and when it was dead at the
-latest, whatever lies above the ceiling was never drawn and goes back to the
-budget.
-
-Only a later life of the same router on the same host judges that: no two
-run at once there, so the earlier one is dead.
+"""Ceilings on how much of a grant its holder may draw until its next report.
+
+A grant must cover an outage of the KV, so it is many times what its holder
+draws between two reports. If the holder died, everything unreported would have
+to be counted as used. With each report the holder therefore commits to a
+*ceiling*: an upper bound on the tokens it will have drawn as a function of the
+time since then. Once the holder is known to be dead, and the latest possible
+time of its death is known, the tokens above the ceiling were never drawn and
+return to the budget.
+
+Only a later life of the same router on the same host makes this decision. Two
+lives never run at once on a host, so the earlier one is dead.
 """
 
 from typing import NamedTuple
@@ -17,20 +17,21 @@
 from mustardfall.util import clock as clock_lib
 
 _SAME_BOOT_TOLERANCE_S = 0.25
-"""How closely the boot clock and the wall clock must agree on the time
-between two moments for both to be taken to be of one boot. A boot clock
-starts anew when its host loses power, and then agrees only by chance."""
+"""Largest difference between the boot clock's and the wall clock's measure of
+an interval for its two ends to be considered part of the same boot. A boot
+clock restarts when its host loses power and then agrees only by chance."""
 _DEFAULT_WALL_ERROR_S = 5.0
-"""How far a wall clock is trusted that was not compared: steps of 2.4 to
-3.1 s are known, either way, and one may come between two readings."""
+"""Assumed error of a wall clock that was not compared with others. Steps of 2.4
+to 3.1 s in either direction have been observed, and one may occur between two
+readings."""
 
 
 class Ceiling(NamedTuple):
-  """A promise of a grant's holder, in force until the next one.
+  """An upper bound on the use of a grant, in force until the next one.
 
-  For `grace_s` from the moment it was issued no more than `tokens` of the
-  grant are in use (reserved, used or handed on), after that `rate` tokens
-  a second more.
+  For `grace_s` after `issued`, at most `tokens` of the grant are in use
+  (reserved, used or delegated). After that the bound grows by `rate` tokens per
+  second.
   """
 
   tokens: int
@@ -39,18 +40,18 @@
   issued: clock_lib.Moment
 
   def allowed_after(self, elapsed_s: float) -> int:
-    """Returns the most in use `elapsed_s` seconds after the promise."""
+    """Returns the bound `elapsed_s` seconds after issue or renewal."""
     beyond_s = max(0.0, elapsed_s - self.grace_s)
     return self.tokens + int(self.rate * beyond_s)
 
 
 def encode(ceiling: Ceiling) -> list[float]:
-  """Returns a ceiling as it stands in a ledger."""
+  """Returns a ceiling in the form stored in a ledger."""
   return [*ceiling[:-1], *ceiling.issued]
 
 
 def decode(raw: list[float]) -> Ceiling:
-  """Returns a ceiling from a ledger; see `encode`."""
+  """Returns a ceiling from its stored form; see `encode`."""
   tokens, grace_s, rate, *issued = raw
   return Ceiling(tokens, grace_s, rate, clock_lib.Moment(*issued))
 
@@ -58,17 +59,17 @@
 def max_elapsed_s(
     issued: clock_lib.Moment, started: clock_lib.Moment
 ) -> float | None:
-  """Returns the most seconds from one moment to a later one, on one host.
+  """Returns an upper bound on the time between two moments on one host.
 
-  Within one boot the boot clock tells, which also counts the time that the
-  host was suspended. After a loss of power only the wall clock is left, and
-  it may have been stepped. Two readings that agreed with most other routers'
-  clocks are trusted to the sum of what each was off: wrong only if most
-  hosts' clocks are stepped together in the seconds around a loss of power.
-  What the boot clock shows after it says nothing: it need not begin at zero.
+  Within one boot the boot clock is used; it includes the time that the host was
+  suspended. After a power loss only the wall clock is left, and it may have
+  been stepped. Two readings that agreed with most other routers' clocks are
+  trusted up to the sum of their errors. This fails only if most hosts' clocks
+  are stepped together within seconds of a power loss. The boot clock's reading
+  after a power loss carries no information, as it need not start at zero.
 
   Returns:
-    The most that can have passed; None when the clocks tell nothing.
+    The upper bound in seconds; None if the clocks contradict each other.
   """
   boot_s = started.boot_s - issued.boot_s
   wall_s = started.wall_s - issued.wall_s
--- a/mustardfall/budget/ledger.py
+++ b/mustardfall/budget/ledger.py
@@ -8,21 +8,21 @@
      "parts": {"router-2:90bb:3": {"router-3:11aa:9": 500}},
      "ops": ["topup:ab12", ...]}
 
-The invariant, kept by every change, is that what is spent, granted and
-lost stays within the limit. A router spends only from grants it holds,
-so what engines generate for a budget never exceeds its limit, whatever
-fails. No clock takes part in that.
-
-A grant whose holder has gone is *written off*: it moves to `lost` and
-stays counted, because nobody knows how much of it was spent. Giving it
-back instead would overspend when the holder was only paused. When that
-holder wakes and settles, its grant is found in `lost`, the true count is
+Every change preserves the invariant that the sum of spent, granted and lost
+tokens stays within the limit. A router spends only from grants it holds, so the
+tokens that engines generate for a budget never exceed its limit, whatever
+fails. This does not depend on any clock.
+
+A grant whose holder is gone is *written off*: it moves to `lost` and remains
+counted, because it is unknown how much of it was spent. Returning it to the
+budget would cause overspending if the holder was only paused. When such a
+holder resumes and settles, its grant is found in `lost`, the actual usage is
 billed and the rest returns to the budget.
 
-The holder of a grant hands parts of it on to other routers (`pool`). A
-part is normally settled with that holder; when the holder has gone, it
-is settled here instead and noted in `parts`, so that a holder that was
-only paused does not bill it a second time.
+The holder of a grant delegates parts of it to other routers (see `pool`). A
+part is normally settled with that holder. If the holder is gone, the part is
+settled here instead and recorded in `parts`, so that a holder that was only
+paused does not bill it a second time.
 """
 
 from collections.abc import Mapping
@@ -37,14 +37,17 @@
 
 PREFIX = "budget/"
 _MAX_OPS = 64
-"""Recent op ids kept per budget, to answer a retried top-up."""
+"""Number of recent operation ids kept per budget to recognise a retried top-up.
+"""
 _MAX_LOST_GRANTS = 64
-"""Written-off grants that can still be settled; older ones are summed."""
+"""Number of written-off grants that can still be settled; older ones are
+summed."""
 _STOPPED_MARK = "/stopped"
-"""Mark among a grant's parts; it stays as long as the grant does, so that
-a late repeat of the holder's end is known, however many ops came since."""
+"""Entry in a grant's `parts` that marks its holder as stopped. It remains as
+long as the grant, so that a late repeat of `Release` is recognised however many
+operations followed."""
 _MAX_CAS_ATTEMPTS = 8
-"""Compare-and-swap attempts before a write is given up as unavailable."""
+"""Compare-and-swap attempts before a write fails."""
 
 
 class Ledger(TypedDict):
@@ -52,7 +55,7 @@
 
   limit: int
   limit_version: typing.NotRequired[int]
-  """Version of the configuration that `limit` is from, if from one."""
+  """Version of the configuration that set `limit`, if one did."""
   spent: int
   grants: dict[str, int]
   lost: dict[str, int]
@@ -60,57 +63,57 @@
   parts: dict[str, dict[str, int]]
   ops: list[str]
   billed: typing.NotRequired[dict[str, int]]
-  """Grant to the tokens of it that its holder has reported as used."""
+  """Grant id to the tokens that its holder has reported as used."""
   ceilings: typing.NotRequired[dict[str, list[float]]]
-  """Grant to its holder's last promise; see `ceilings.decode`."""
+  """Grant id to the holder's latest ceiling; see `ceilings.decode`."""
   out: typing.NotRequired[dict[str, dict[str, int]]]
-  """Grant of a holder that has stopped to the parts of it still with other
-  routers, and their tokens."""
+  """Grant id of a stopped holder to the parts of it that other routers still
+  hold, and their tokens."""
 
 
 class Balance(NamedTuple):
-  """What is known of a budget, from the last look at its ledger."""
+  """A budget's figures as of the last read of its ledger."""
 
   limit: int
   spent: int
   held: int
-  """Tokens that routers hold, or held when they died."""
+  """Tokens held by routers, including written-off grants."""
   at: float
-  """When the ledger was seen, monotonic seconds."""
+  """Time of the read, monotonic seconds."""
 
 
 class Create(NamedTuple):
-  """Creates the budget with `tokens`, unless it exists."""
+  """Creates the budget with `tokens` unless it exists."""
 
   tokens: int
 
 
 class Limit(NamedTuple):
-  """A budget's limit as a version of the configuration sets it."""
+  """A budget's limit as set by a version of the configuration."""
 
   tokens: int
   version: int
 
 
 class Grant(NamedTuple):
-  """Sets `least` to `want` tokens aside for a holder, as grant `gid`.
+  """Grants `least` to `want` tokens to a holder under the id `gid`.
 
-  At most `share` of the headroom is given (but never below `least` when
-  that much is free), so that one holder cannot take a budget that others
-  draw on too. `margin` of the limit is never given out: a cushion for
+  At most `share` of the headroom is granted (but at least `least` if that much
+  is free), so that one holder cannot take a budget that others also draw on.
+  `margin` is the fraction of the limit that is never granted: a reserve for
   engines that generate more than they were allowed.
 
-  `base` is what the holder knows to have been granted under `gid` before:
-  0 takes a new grant, more raises one that it holds. One grant that grows
-  keeps a holder's free tokens together; many would each keep a rest that
-  is too small for any request. A ledger that shows more than `base` has
-  taken this change already, its reply was lost.
+  `base` is the number of tokens that the holder knows to be granted under
+  `gid`: 0 creates a grant, a larger number enlarges an existing one. Enlarging
+  one grant keeps a holder's free tokens together; several grants would each
+  keep a remainder too small for any request. A ledger that shows more than
+  `base` has applied this change already and its reply was lost.
 
-  `limit`, where operators set limits by configuration, replaces the
-  ledger's unless that is from a newer version: a router that has not
-  heard of a reduced limit cannot bring the old one back.
+  `limit`, where operators set limits by configuration, replaces the ledger's
+  limit unless that is from the same or a newer version. A router that does not
+  know of a reduced limit therefore cannot restore the old one.
 
-  `ceiling` is what the holder promises of the grant; see `ceilings`.
+  `ceiling` is the holder's new ceiling on the grant; see `ceilings`.
   """
 
   gid: str
@@ -124,14 +127,13 @@
 
 
 class Settle(NamedTuple):
-  """Ends grant `gid`: what was used is spent, the rest returns.
-
-  `used` is the holder's own; `parts` maps the id of each part it handed
-  on to the tokens used of it, and those already settled here are passed
-  over. `lost` maps the parts whose holders have gone to their tokens;
-  they are written off under their own ids, and settled by those later.
-  More used than was granted is billed all the same: hiding it would hide
-  an overspend.
+  """Ends grant `gid`: used tokens become spent, the rest returns to the budget.
+
+  `used` is the holder's own usage. `parts` maps the id of each ended part to
+  the tokens used of it; parts already settled here are skipped. `lost` maps the
+  parts whose holders are gone to their tokens. They are written off under their
+  own ids and can be settled by their holders later. Usage beyond the grant is
+  billed as well; hiding it would hide an overspend.
   """
 
   gid: str
@@ -141,11 +143,11 @@
 
 
 class ReportUse(NamedTuple):
-  """Reports what was used of `gid` so far, while its holder goes on.
+  """Reports the usage of grant `gid` so far, while its holder continues.
 
-  What is reported moves from the grant to what is spent, so that less is
-  written off when the holder dies. `used` and `parts` are as in `Settle`.
-  `ceiling` is what the holder promises from now on.
+  Reported tokens move from the grant to `spent`, so that less is written off if
+  the holder dies. `used` and `parts` are as in `Settle`. `ceiling` is the
+  holder's new ceiling.
   """
 
   gid: str
@@ -157,9 +159,9 @@
 class Release(NamedTuple):
   """Ends a stopping holder's own use of `gid`.
 
-  The holder exits while other routers still hold parts of its grant:
-  `out` maps them to their tokens. These stay granted, and their holders
-  settle them here.
+  The holder exits while other routers still hold parts of its grant. `out` maps
+  these parts to their tokens. They stay granted, and their holders settle them
+  here.
   """
 
   gid: str
@@ -170,15 +172,16 @@
 
 
 class SettlePart(NamedTuple):
-  """Bills a part of `tokens` of grant `gid` whose holder has gone.
+  """Bills a part of `tokens` of grant `gid` whose holder is gone.
 
-  Only what was used comes off the grant. The rest may not be given back:
-  the holder may only be paused, and may have heard that the part ended
-  (its reply was lost) and be spending the rest by itself. It is given
-  back when the holder settles, or after a holder that stopped for good.
+  Only the used tokens are deducted from the grant. The rest must not be
+  returned yet: the grant's holder may only be paused, may have received the end
+  of the part (its reply was lost) and may be spending the rest itself. The rest
+  returns when the holder settles, or at once if the holder has stopped for
+  good.
 
-  An empty `gid` stands for the grant that the part is of, if its holder has
-  stopped: a router that never had an answer to its ask does not know it.
+  An empty `gid` stands for the grant of a stopped holder that lists the part: a
+  router that never received a reply to its request does not know the grant.
   """
 
   gid: str
@@ -188,11 +191,11 @@
 
 
 class Shrink(NamedTuple):
-  """Gives `tokens` of grant `gid` back that its holder has not drawn.
+  """Returns `tokens` of grant `gid` that its holder has not drawn.
 
-  The holder no longer draws on them when it asks. `base` is what it knows to
-  be granted: a ledger that shows another figure has taken this change
-  already, or one that the holder has not heard of.
+  The holder stops drawing on them before it asks. `base` is the number of
+  tokens it knows to be granted. A ledger that shows another number has applied
+  this change already, or one that the holder does not know of yet.
   """
 
   gid: str
@@ -201,18 +204,18 @@
 
 
 class WriteOff(NamedTuple):
-  """Counts grant `gid` as lost, since its holder has gone."""
+  """Counts grant `gid` as lost because its holder is gone."""
 
   gid: str
 
 
 class Reclaim(NamedTuple):
-  """Gives back what earlier lives of a router cannot have drawn.
+  """Returns the tokens that earlier lives of a router cannot have drawn.
 
-  The router life `life` runs since `started`, and no earlier life of it any
-  more: what each held above its ceiling at that moment was not drawn. The
-  rest is written off. `renewed` tells when earlier lives last renewed all
-  their promises; see `renewals`.
+  Router life `life` has run since `started`, and no earlier life of the router
+  has run since then. The tokens that an earlier life held above its ceiling at
+  that moment were not drawn; the rest is written off. `renewed` maps earlier
+  lives to the last renewal of their ceilings; see `renewals`.
   """
 
   life: str
@@ -221,7 +224,7 @@
 
 
 class TopUp(NamedTuple):
-  """Adds `tokens` once; `op` names this top-up in the ledger."""
+  """Adds `tokens` to the limit once; `op` identifies the top-up in the ledger."""
 
   tokens: int
   op: str
@@ -233,18 +236,18 @@
 
 
 def headroom(ledger: Ledger) -> int:
-  """Returns tokens neither spent, granted nor lost."""
+  """Returns the tokens that are neither spent, granted nor lost."""
   counted = sum(ledger["grants"].values()) + lost(ledger)
   return ledger["limit"] - ledger["spent"] - counted
 
 
 def lost(ledger: Ledger) -> int:
-  """Returns tokens written off: spent or not, nobody knows."""
+  """Returns the written-off tokens; it is unknown whether they were spent."""
   return sum(ledger["lost"].values()) + ledger["lost_before"]
 
 
 def holder(gid: str) -> str:
-  """Returns the router life (`name:epoch`) that a grant id belongs to."""
+  """Returns the router life (`name:epoch`) that holds grant `gid`."""
   return gid.rpartition(":")[0]
 
 
@@ -264,7 +267,7 @@
 
 
 def _with_limit(ledger: Ledger | None, limit: Limit | None) -> Ledger | None:
-  """Returns `ledger` under `limit`, created if there is none yet."""
+  """Returns `ledger` with `limit` applied, created if it does not exist."""
   if limit is None:
     return ledger
   if ledger is None:
@@ -289,9 +292,10 @@
 
 
 def granted(ledger: Ledger, gid: str) -> int:
-  """Returns all that was granted under `gid`, parts settled here included.
+  """Returns all tokens granted under `gid`.
 
-  0 when there is no such grant, or it was written off.
+  Includes reported usage and parts settled here. 0 if there is no such grant or
+  it was written off.
   """
   return _granted(ledger, "grants", gid) if gid in ledger["grants"] else 0
 
@@ -302,16 +306,16 @@
 
 
 def ceiling(ledger: Ledger, gid: str) -> ceilings_lib.Ceiling | None:
-  """Returns what the holder of `gid` has promised last, if anything."""
+  """Returns the last ceiling that the holder of `gid` issued, if any."""
   raw = ledger.get("ceilings", {}).get(gid)
   return None if raw is None else ceilings_lib.decode(raw)
 
 
 def _with_ceiling(ledger: Ledger, change: Grant | ReportUse) -> Ledger:
-  """Returns `ledger` with a holder's promise, unless a later one is there.
+  """Returns `ledger` with the change's ceiling, unless a later one is stored.
 
-  A report that waited for the KV may land after a later change of the same
-  holder; it then knows nothing of what the holder has drawn since.
+  A report delayed by an unavailable KV may be applied after a later change of
+  the same holder and does not cover what the holder has drawn since.
   """
   new, old = change.ceiling, ceiling(ledger, change.gid)
   if new is None or (old is not None and old.issued > new.issued):
@@ -324,7 +328,7 @@
 
 
 def earlier_grants(ledger: Ledger, life: str) -> list[str]:
-  """Returns the grants with a promise that earlier lives of `life` held."""
+  """Returns the grants with a ceiling held by the router's earlier lives."""
   name = life.rpartition(":")[0]
   return [
       gid
@@ -334,12 +338,12 @@
 
 
 def billed(ledger: Ledger, gid: str) -> int:
-  """Returns what the holder of `gid` has reported as used."""
+  """Returns the tokens that the holder of `gid` has reported as used."""
   return ledger.get("billed", {}).get(gid, 0)
 
 
 def _find_table(ledger: Ledger | None, gid: str) -> str | None:
-  """Returns which table holds `gid`: "grants", "lost" or neither."""
+  """Returns the table that holds `gid`: "grants", "lost" or None."""
   for table in ("grants", "lost"):
     if ledger is not None and gid in ledger[table]:
       return table
@@ -370,7 +374,7 @@
 
 
 def _billable(change: Settle | ReportUse | Release, ledger: Ledger) -> int:
-  """Returns the tokens to bill: all but the parts settled here before."""
+  """Returns the holder's usage except for parts already settled here."""
   settled = ledger["parts"].get(change.gid, {})
   return change.used + sum(
       used for part, used in change.parts.items() if part not in settled
@@ -424,7 +428,10 @@
 
 
 def _stopped_grant_of(ledger: Ledger | None, part: str) -> str:
-  """Returns the stopped holder's grant that `part` is of; empty: none."""
+  """Returns the grant of a stopped holder that lists `part`.
+
+  Empty if there is none.
+  """
   for gid, parts in (ledger or {}).get("out", {}).items():
     if part in parts:
       return gid
@@ -436,7 +443,7 @@
   if not change.gid:
     change = change._replace(gid=_stopped_grant_of(ledger, change.part))
   if ledger is not None and change.part in ledger["lost"]:
-    # The holder of the grant wrote the part off before it went.
+    # The holder of the grant had written the part off before it was gone.
     return change_lib.apply(Settle(change.part, change.used), ledger)
   table = _find_table(ledger, change.gid)
   if table is None:
@@ -465,7 +472,7 @@
 
 
 def _forget_reports(ledger: Ledger, gid: str) -> Ledger:
-  """Returns `ledger` without the reports on a grant that has ended."""
+  """Returns `ledger` without the reported usage and ceiling of an ended grant."""
   kept = {
       table: _without(ledger[table], gid)
       for table in ("billed", "ceilings")
@@ -475,12 +482,12 @@
 
 
 def _has_stopped(ledger: Ledger, gid: str) -> bool:
-  """Whether the holder of `gid` has ended its own use of it."""
+  """Whether the holder of `gid` has released it."""
   return _STOPPED_MARK in ledger["parts"].get(gid, {})
 
 
 def _drop_if_done(ledger: Ledger, table: str, gid: str) -> Ledger:
-  """Returns `ledger` without a stopped holder's grant that is used up."""
+  """Returns `ledger` without a stopped holder's grant if nothing is left."""
   if not _has_stopped(ledger, gid) or ledger[table][gid] > 0:
     return ledger
   return {
@@ -511,7 +518,7 @@
 
 
 def _reclaim(ledger: Ledger, gid: str, change: Reclaim) -> Ledger:
-  """Returns `ledger` with a dead holder's grant down to its ceiling."""
+  """Returns `ledger` with a dead holder's grant cut down and written off."""
   last_ceiling = ceiling(ledger, gid)
   table = _find_table(ledger, gid)
   elapsed_s = unheard_s(change, gid, last_ceiling)
@@ -530,10 +537,10 @@
 def unheard_s(
     change: Reclaim, gid: str, last_ceiling: ceilings_lib.Ceiling
 ) -> float | None:
-  """Returns how long the holder of `gid` can have drawn unheard, at most.
+  """Returns the longest time that the holder of `gid` drew unreported.
 
-  Since its promise or its last renewal, whichever is later; None when the
-  clocks tell nothing.
+  Counted from its ceiling's issue or its last renewal, whichever gives the
+  lower bound; None if the clocks give none.
   """
   moments = [last_ceiling.issued, change.renewed.get(holder(gid))]
   spans = [
@@ -545,13 +552,13 @@
 
 
 def _unsettled_lost(change: Settle | Release, ledger: Ledger) -> dict[str, int]:
-  """Returns the lost parts that were not settled here meanwhile."""
+  """Returns the change's lost parts that were not settled here."""
   settled = ledger["parts"].get(change.gid, {})
   return {p: n for p, n in change.lost.items() if p not in settled}
 
 
 def _add_lost(ledger: Ledger, tokens: Mapping[str, int]) -> Ledger:
-  """Returns `ledger` with more written off; the oldest are summed."""
+  """Returns `ledger` with more written off; the oldest entries are summed."""
   written_off = {**ledger["lost"], **tokens}
   before = ledger["lost_before"]
   parts = dict(ledger["parts"])
@@ -579,7 +586,7 @@
 
 
 async def read(kv: protocol.Store, name: str) -> Ledger | None:
-  """Returns budget `name`'s ledger, or None when there is none."""
+  """Returns budget `name`'s ledger, or None if there is none."""
   record = await kv.get(key(name))
   return change_lib.decode(record.value) if record else None
 
@@ -587,15 +594,15 @@
 async def write(
     kv: protocol.Store, name: str, change: NamedTuple
 ) -> Ledger | None:
-  """Applies one change at once, without a `writer.Writer` (operators).
+  """Applies one change directly, without a `writer.Writer` (for operators).
 
   Returns:
-    The ledger after the change, or as found when it had nothing to write
-    (None: there is no such budget).
+    The ledger after the change, or as found if the change does not apply (None
+    if there is no such budget).
 
   Raises:
     errors.KvUnavailableError: not written.
-    errors.KvUnknownError: it may be written; the same change again is safe.
+    errors.KvUnknownError: possibly written; repeating the same change is safe.
   """
   sent = False
   for _ in range(_MAX_CAS_ATTEMPTS):
@@ -612,8 +619,8 @@
           [protocol.Put(key(name), change_lib.encode(after))],
       )
     except errors.KvUnknownError:
-      continue  # the re-read shows whether it landed
+      continue  # the next read shows whether it was written
     if result.succeeded:
       return after
   kind = errors.KvUnknownError if sent else errors.KvUnavailableError
-  raise kind(f"budget {name}: too many conflicts")
+  raise kind(f"budget {name}: no write after {_MAX_CAS_ATTEMPTS} attempts")
