--- a/mustardfall/budget/acquiring.py
+++ b/mustardfall/budget/acquiring.py
@@ -1,8 +1,9 @@
-"""Gets a request its tokens: from own rows, the owner, the KV or a deputy.
+"""Obtains tokens for requests: own rows, the owner, the KV or a deputy.
 
-Grants are taken in the background, one at a time per budget, so that one
-answer serves all who wait for it and nobody queues behind a store that does
-not answer.
+A deputy is one of the next routers after the owner in a budget's hash order.
+Grants are requested in the background, one at a time per budget. One reply
+serves all waiting requests, and no request queues behind a store that does not
+answer.
 """
 
 import collections
@@ -22,56 +23,56 @@
 from mustardfall.util import clock as clock_lib
 
 _OWNER_REFUSAL_TTL_S = 0.05
-"""How long an owner's refusal is repeated from memory."""
+"""How long an owner's refusal is cached."""
 _POLL_INTERVAL_S = 0.05
-"""Pause between two looks at a budget that ran out."""
+"""Pause between two attempts to reserve from an exhausted budget."""
 _REFILL_PAUSE_S = 1.0
-"""Pause after a refill that the budget could not give; requests that need
+"""Pause after a refill that the budget could not cover; requests that need
 tokens still ask at once."""
 _KV_WAIT_S = 0.03
 """How long a request waits for the KV before it asks a deputy. The KV answers
-in 4 ms; when it falls silent a call takes half a second to fail, and all
-requests of that time would wait for it until they are refused."""
+in 4 ms. When it stops answering, a call takes half a second to fail, and all
+requests of that time would wait until they are refused."""
 
 
 _RECALL_WAIT_S = 0.06
-"""How much longer it waits once the KV has answered: the budget may be short
-until others have returned idle tokens, which takes some 20 ms."""
+"""Additional wait once the KV has answered. The budget may be short until other
+routers have returned idle tokens, which takes about 20 ms."""
 
 
 class _GrantRequest(NamedTuple):
-  """A grant to be taken in the background."""
+  """A grant to be requested from the KV in the background."""
 
   budget: str
   least: int
   customer: str
   as_owner: bool
-  """Whether to hold a store of tokens, or just what is needed now."""
+  """Whether to hold a reserve of tokens, or only those needed now."""
 
 
 class _PendingGrant:
-  """A grant that is being taken."""
+  """A grant request in progress."""
 
   def __init__(self) -> None:
     self.kv_replied = anyio.Event()
-    """Set once the KV has answered, or did not."""
+    """Set once the KV has answered or its call has failed."""
     self.done = anyio.Event()
     self.answered = False
     """Whether the KV answered."""
 
   def note_answer(self) -> None:
-    """Notes that the KV has answered."""
+    """Records that the KV has answered."""
     self.answered = True
     self.kv_replied.set()
 
   def end(self) -> None:
-    """Has nobody wait any longer."""
+    """Wakes all waiting requests."""
     self.kv_replied.set()
     self.done.set()
 
 
 class TokenAcquirer:
-  """Reserves tokens for requests and keeps budgets filled.
+  """Reserves tokens for requests and refills budgets.
 
   Args:
     config: how allotments are sized.
@@ -80,11 +81,11 @@
     peers: calls to other routers.
     budget_view: what is known of the budgets.
     table: this router's allotments.
-    refusals: budgets that lately could not give.
-    granter: asks the KV.
-    recaller: asks other holders.
-    settler: settles parts whose fate is unknown.
-    counts: what happened so far.
+    refusals: budgets that recently refused.
+    granter: requests grants from the KV.
+    recaller: asks other holders to return idle tokens.
+    settler: settles parts whose delivery is uncertain.
+    counts: event counters.
   """
 
   def __init__(
@@ -113,23 +114,23 @@
     self._settler = settler
     self._counts = counts
     self._demand: collections.Counter[str] = collections.Counter()
-    """Tokens that waiting requests need, per budget."""
+    """Tokens needed by waiting requests, by budget."""
     self._pending_grants: dict[str, _PendingGrant] = {}
-    """Grants being taken, by budget."""
+    """Grant requests and refills in progress, by budget."""
     self._grant_requests: list[_GrantRequest] = []
     self._refills_due: dict[str, str] = {}
     """Budgets that run low, and their customers."""
     self._wake = anyio.Event()
     self._refill_at: dict[str, float] = {}
-    """When a budget that could not give may be refilled again."""
+    """Earliest time of the next refill of a budget that could not cover one."""
     self._unseen_ledgers: set[str] = set()
-    """Budgets whose first grant was taken without knowing their ledger."""
+    """Budgets whose first grant was sized without having read their ledger."""
     self.stopping = False
 
   async def reserve(
       self, budget: str, tokens: int, customer: str
   ) -> allotment.Reservation | None:
-    """Sets `tokens` aside for a request; see `pool.Pool.reserve`."""
+    """Reserves `tokens` for a request; see `pool.Pool.reserve`."""
     found = self._table.reserve(budget, tokens)
     if found is None:
       return await self._wait_for_tokens(budget, tokens, customer)
@@ -137,36 +138,36 @@
     return found
 
   def refill_if_low(self, budget: str, customer: str) -> None:
-    """Has the budget refilled if it will soon run short here."""
+    """Schedules a refill if the budget will soon run short on this router."""
     if self._runs_low(budget) or self._table.nears_ceiling(budget):
       self._schedule_refill(budget, customer)
 
   def _runs_low(self, budget: str) -> bool:
-    """Whether so little is left here that it should be refilled."""
+    """Whether the budget's unused tokens on this router call for a refill."""
     target = self._budget_view.target(budget)
     if target is None or self._budget_view.owner(budget) is not None:
       return self._table.running_low(budget)
     return self._table.undrawn(budget) < target * self._config.low_mark
 
   def prefetch(self) -> None:
-    """Has budgets filled that are drawn on here directly and not held yet.
+    """Schedules a first grant for owned budgets that have none.
 
-    A request that comes while the store is away is served from what is
-    held here, or not at all; it may be the team's first here.
+    While the store is unavailable, a request is served only from tokens held by
+    the routers, and it may be the team's first request to this router.
     """
     for budget in self._budget_view.owned_budgets():
       if budget not in self._table.by_budget:
         self._schedule_refill(budget, budget)
 
   def _schedule_refill(self, budget: str, customer: str) -> None:
-    """Has the budget refilled in the background."""
+    """Schedules a refill of the budget in the background."""
     self._refills_due[budget] = customer
     self._wake.set()
 
   async def _wait_for_tokens(
       self, budget: str, tokens: int, customer: str
   ) -> allotment.Reservation | None:
-    """Gets tokens, for as long as the customer's policy has patience."""
+    """Obtains tokens, for at most the maximum wait of the customer's policy."""
     max_wait_s = self._budget_view.policy_of(customer).max_wait_s
     deadline = self._clock.monotonic() + max_wait_s
     self._demand[budget] += tokens
@@ -189,9 +190,9 @@
         del self._demand[budget]
 
   def _is_refused(self, budget: str, tokens: int) -> bool:
-    """Whether it is known that asking would only be refused again.
+    """Whether another request for tokens is known to be refused.
 
-    Tokens that come free here are found in the table all the same.
+    Tokens freed on this router are still found in the table.
     """
     refused = self._refusals.is_cached(budget, tokens)
     return refused or self._budget_view.is_exhausted(budget, tokens)
@@ -201,8 +202,8 @@
   ) -> None:
     """Asks the owner, the KV and the owner's deputies, until one answers.
 
-    A deputy may be in touch with the KV while the owner and this router are
-    not, or hold tokens since it stood in for the owner before.
+    A deputy may reach the KV while the owner and this router do not, or may
+    hold tokens from an earlier time when it replaced the owner.
     """
     if self._can_reserve(budget, tokens) or self.stopping:
       return
@@ -220,7 +221,7 @@
         continue
       if await self._request_part(deputy, budget, tokens, part, customer):
         return
-    # Nobody else has tokens either: a store that is slow may still answer.
+    # No other router has tokens either; a slow store may still answer.
     pending = self._pending_grants.get(budget)
     if pending is not None:
       await pending.done.wait()
@@ -232,10 +233,10 @@
   async def request_grant(
       self, budget: str, least: int, customer: str, as_owner: bool
   ) -> bool:
-    """Waits a moment for a grant; returns whether the KV has answered.
+    """Waits a limited time for a grant; returns whether the KV has answered.
 
-    It is taken in the background: a caller that leaves must not leave tokens
-    behind that were granted in answer but recorded nowhere.
+    The request runs in the background. If it ran in the caller's task, a caller
+    that disconnects could leave a grant in the ledger that no row records.
     """
     if self._can_reserve(budget, least):
       return True
@@ -266,8 +267,8 @@
     request = peers_lib.Ask(budget, customer, part, least, want)
     answer = await self._peers.reserve(owner, request)
     if answer is None:
-      # The owner may have handed the part on and its answer got lost.
-      # Settled as unused, it goes back; no request ever drew on it.
+      # The owner may have delegated the part and its reply may have been lost.
+      # The part is settled as unused, which returns it; no request drew on it.
       self._counts["owner_unreachable"] += 1
       self._members.suspect(owner.life)
       unused = allotment.Row(budget, part, 0, 0.0, owner.life)
@@ -279,7 +280,8 @@
       self._table.add(budget, part, answer.tokens, now, owner.life, answer.gid)
       self._refusals.remove(budget)
     elif not answer.unsure:
-      # Short: the owner knows best, and answers from its own memory.
+      # The refusal is cached only briefly: the owner has the current state and
+      # answers from its own cache.
       self._refusals.add(budget, least, _OWNER_REFUSAL_TTL_S)
       if answer.exhausted:
         self._budget_view.note_exhausted(budget, least)
@@ -289,11 +291,11 @@
 
   @property
   def busy(self) -> bool:
-    """Whether any grant is being taken."""
+    """Whether any grant request or refill is in progress."""
     return bool(self._pending_grants)
 
   async def run(self) -> None:
-    """Takes grants and refills budgets, until cancelled."""
+    """Requests grants and refills budgets until cancelled."""
     self._end_stale_grants()
     async with anyio.create_task_group() as tasks:
       while True:
@@ -309,11 +311,11 @@
             tasks.start_soon(self._run_refill, budget, customer)
 
   def _end_stale_grants(self) -> None:
-    """Ends what an earlier run left behind.
+    """Ends grant requests left by an earlier run.
 
-    A run that failed took its grants' tasks with it, some before their first
-    step. Their budgets would be taken to have a grant on its way for ever,
-    and every request that needs one would be refused.
+    A run that fails cancels its tasks, some before their first step. Without
+    this, their budgets would count as having a grant in progress forever, and
+    every request that needs one would be refused.
     """
     ordered = {grant_request.budget for grant_request in self._grant_requests}
     for budget in self._pending_grants.keys() - ordered:
@@ -330,7 +332,7 @@
   async def _take_grant(
       self, grant_request: _GrantRequest, pending: _PendingGrant
   ) -> None:
-    """Takes a grant from the KV."""
+    """Requests a grant from the KV, recalling idle tokens if it is refused."""
     budget, least, customer, as_owner = grant_request
     raised = await self._granter.raise_ceiling(budget, least)
     if raised is not None:
@@ -339,8 +341,8 @@
       return
     margin = self._budget_view.policy_of(customer).margin
     unseen = budget not in self._budget_view.ledgers
-    # In an owner's place only what is needed now: a store of tokens
-    # here would lie idle once the owner answers again.
+    # A router that replaces the owner takes only what is needed now: a larger
+    # reserve would be idle once the owner answers again.
     demand = max(least, self._demand.get(budget, 0))
     want = self._table.grant_size(budget, demand) if as_owner else demand
     found = await self._granter.grant(budget, least, want, margin, as_owner)
@@ -349,8 +351,9 @@
     pending.note_answer()
     if self._table.can_reserve(budget, least):
       if as_owner and unseen:
-        # Taken before the ledger was known, so small: filled up now, not
-        # with the next request, which may come when the store is away.
+        # The first grant is small, as it was sized without having read the
+        # ledger. It is enlarged now rather than at the next request, which may
+        # come while the store is unavailable.
         self._unseen_ledgers.add(budget)
         self._schedule_refill(budget, customer)
       return
@@ -372,7 +375,7 @@
       pending.end()
 
   async def _refill_budget(self, budget: str, customer: str) -> None:
-    """Brings what is held of a budget up to what it should be."""
+    """Raises the tokens held of a budget to their target."""
     now = self._clock.monotonic()
     unseen = budget in self._unseen_ledgers
     self._unseen_ledgers.discard(budget)
@@ -400,7 +403,7 @@
       self._refill_at[budget] = now + _REFILL_PAUSE_S
 
   def prune(self, before: float) -> None:
-    """Drops what was noted of budgets that are quiet since `before`."""
+    """Drops the state of budgets that have been idle since `before`."""
     for budget, at in list(self._refill_at.items()):
       if at < before:
         del self._refill_at[budget]
--- a/mustardfall/budget/granting.py
+++ b/mustardfall/budget/granting.py
@@ -1,4 +1,4 @@
-"""Asks the KV for grants, and promises how far they will be drawn."""
+"""Requests grants from the KV and issues ceilings on their use."""
 
 import collections
 from collections.abc import Callable
@@ -20,27 +20,28 @@
 logger = logging.getLogger(__name__)
 
 _MIN_REFILL_FRACTION = 0.1
-"""Part of what is to be held that a refill brings at least."""
+"""Smallest refill, as a fraction of the target."""
 _EMPTY_LEDGER = ledger.Ledger(
     limit=0, spent=0, grants={}, lost={}, lost_before=0, parts={}, ops=[]
 )
-"""Stands for a budget that the KV does not hold."""
+"""Returned for a budget that does not exist in the KV."""
 
 
 class Granter:
-  """Takes and raises this router's grants.
+  """Requests and enlarges this router's grants.
 
   Args:
     config: how grants are sized.
     clock: the time source.
-    members: how many regions share a budget.
+    members: the number of regions that share a budget.
     budget_view: what is known of the budgets.
     table: this router's allotments.
-    refusals: budgets that lately could not give.
+    refusals: budgets that recently refused.
     settler: settles grants and reports their use.
     writer: the batch writer to the KV.
-    vouch: marks a moment of this host as agreed, if it is.
-    counts: what happened so far.
+    vouch: adds a clock error to a moment of this host if its clock was compared
+      with other routers' clocks.
+    counts: event counters.
   """
 
   def __init__(
@@ -67,13 +68,13 @@
     self._vouch = vouch
     self._counts = counts
     self.pending_gids: set[str] = set()
-    """Grants asked of the KV whose answer is still out."""
+    """Grants with a request to the KV in progress."""
 
   async def raise_ceiling(self, budget: str, least: int) -> bool | None:
-    """Promises anew, so that `least` tokens of what is granted may be drawn.
+    """Issues a ceiling that allows `least` more tokens of the budget's grant.
 
     Returns:
-      Whether the KV answered; None: this grant has not so many left.
+      Whether the KV answered; None if the grant has fewer tokens left.
     """
     row = self._table.growable_row(budget)
     if row is None or not row.issued_ceilings or row.undrawn < least:
@@ -97,12 +98,12 @@
   def issue_ceiling(
       self, budget: str, row: allotment.Row | None, least: int
   ) -> ceilings_lib.Ceiling | None:
-    """Returns a new promise for a row, noted there as sent."""
+    """Returns a new ceiling for a row and records it there as sent."""
     limit = self._budget_view.limit_of(budget)
     if limit is None or not self._config.reports:
       return None
     drawn = 0 if row is None else row.drawn
-    slack, rate = least, 0.0  # nothing more draws on a retired row
+    slack, rate = least, 0.0  # a retired row takes no new reservations
     if row is None or not row.retiring:
       sizing = self._budget_view.sizing_input(budget, limit)
       slack = max(least, holding.slack(sizing, self._config))
@@ -118,30 +119,31 @@
     return ceiling
 
   def report_usage(self) -> None:
-    """Reports what grants have used, with a promise each."""
+    """Reports the usage of grants, each with a new ceiling."""
     for row in self._table.rows.values():
-      # Not while a higher promise is on its way: this one would be the
-      # later, take the place of that one in the ledger, and have the
-      # request refused for which that one was made.
+      # Skipped while a higher ceiling is in flight: this one would be newer,
+      # replace it in the ledger and cause the refusal of the request that the
+      # higher one was issued for.
       if row.gid not in self.pending_gids and self._settler.needs_report(row):
         self._settler.report(row, self.issue_ceiling(row.budget, row, 0))
 
   def _share(self) -> float:
-    """Returns the part of a budget's headroom that a grant may take.
+    """Returns the fraction of a budget's headroom that one grant may take.
 
-    An owner draws for its whole region, so it may take the region's part.
-    Grants that shrink with the headroom would leave many rows with a rest
-    too small for any request: at the edge of a budget, false refusals.
+    An owner draws for its whole region, so it may take the region's share.
+    Grants that shrink with the headroom would leave many rows with remainders
+    too small for any request, which causes false refusals when a budget is
+    nearly used up.
     """
     if self._config.owned:
       return 1.0 / self._members.regions
     return 1.0
 
   def is_refill_worthwhile(self, budget: str) -> bool:
-    """Whether a refill would bring enough to be worth a call to the KV.
+    """Whether a refill would bring enough tokens to justify a call to the KV.
 
-    A budget runs low here while requests in flight have most of what is held
-    set aside; until they have ended no more may be held.
+    A budget also runs low while requests in flight have reserved most of the
+    tokens held. No more may be held until they end.
     """
     limit = self._budget_view.limit_of(budget)
     if limit is None:
@@ -158,15 +160,15 @@
       margin: float,
       as_owner: bool = True,
   ) -> ledger.Ledger | None:
-    """Asks the KV for one grant; None when the KV gave no answer."""
+    """Requests one grant from the KV; None if the KV did not answer."""
     limit = self._budget_view.limit_of(budget)
     share = self._share()
     if as_owner and limit is not None:
       sizing = self._budget_view.sizing_input(budget, limit)
       want = max(least, holding.target(sizing, self._config) - sizing.held)
       if sizing.free is None:
-        # Of a ledger that was not seen yet most may be gone; the share is
-        # taken of what is left when the grant is written.
+        # The ledger was not read yet and may be mostly used; the share applies
+        # to the headroom at the time of the write.
         share = holding.equal_share(sizing, self._config)
     row = self._table.growable_row(budget)
     base = row.granted if row is not None else 0
@@ -185,9 +187,10 @@
     except errors.KvUnknownError:
       self._counts["grant_failures"] += 1
       if row is None:
-        # It may have landed: settled as unused, it goes back. Should it
-        # land later still, `sweep` finds it in the ledger. A row that
-        # grows needs none of that: the ledger's next sight shows it.
+        # The grant may have been written: settling it as unused returns it. If
+        # it is written even later, `settle_strays` finds it in the ledger. A
+        # row that grows needs neither: the next read of the ledger shows its
+        # size.
         self._settler.settle_row(allotment.Row(budget, gid, 0, 0.0))
       return None
     finally:
@@ -210,7 +213,7 @@
       asked_at: float,
       new: bool,
   ) -> None:
-    """Notes what became of a promise that went with a grant."""
+    """Records whether a ceiling sent with a grant was stored."""
     now = self._clock.monotonic()
     stored = ledger.ceiling(after, gid)
     if stored is None or stored.issued < ceiling.issued:
@@ -226,8 +229,8 @@
     if new:
       self._table.add(budget, gid, granted, now)
     else:
-      # A row that was settled meanwhile stays so: its settlement, in the
-      # same batch or a later one, gives the growth back with the rest.
+      # A row settled in the meantime stays settled: its settlement, in the same
+      # batch or a later one, also returns the growth.
       self._table.grow(gid, granted, now)
     self._refusals.remove(budget)
 
--- a/mustardfall/budget/ownership.py
+++ b/mustardfall/budget/ownership.py
@@ -1,4 +1,4 @@
-"""Hands parts of this router's grants on to other routers, as their owner."""
+"""Delegates parts of this router's grants to other routers, as their owner."""
 
 import collections
 
@@ -16,30 +16,31 @@
 from mustardfall.util import clock as clock_lib
 
 _FALLBACK_GRANT_IDLE_S = 2.0
-"""A grant of a budget that another router owns is kept while it was drawn on
-within this time: whoever stands in for an owner that is cut off is asked
-again and again, and each grant less costs writes and leaves rests behind."""
+"""A grant of a budget that another router owns is kept if it was drawn on
+within this time. A router that replaces an unreachable owner is asked
+repeatedly, and each avoided grant saves writes and small unusable remainders.
+"""
 _RECALL_ROUNDS = 3
-"""Rounds in which a stopping router has its parts called back."""
+"""Rounds in which a stopping router recalls its parts."""
 _RECALL_PAUSE_S = 0.05
-"""Between two of these rounds; a call takes some ms."""
+"""Pause between two of these rounds; a call takes a few milliseconds."""
 
 
 class Owner:
-  """Serves other routers' asks, and takes parts back.
+  """Serves other routers' requests for parts and settles the parts.
 
   Args:
     config: how parts are sized.
     clock: the time source.
-    members: who is up and owns what.
+    members: the routers that are up and the owners of budgets.
     peers: calls to other routers.
     budget_view: what is known of the budgets.
     table: this router's allotments.
-    refusals: budgets that lately could not give.
-    drawer: gets what is handed on.
+    refusals: budgets that recently refused.
+    acquirer: obtains the tokens to delegate.
     settler: settles parts.
     writer: the batch writer to the KV.
-    counts: what happened so far.
+    counts: event counters.
   """
 
   def __init__(
@@ -71,7 +72,7 @@
   async def serve_part_request(
       self, request: peers_lib.Ask
   ) -> peers_lib.Handed:
-    """Hands a part of an owned budget on to another router."""
+    """Delegates a part of a budget to another router."""
     handed = self._delegate(request)
     if handed.tokens:
       self._acquirer.refill_if_low(request.budget, request.customer)
@@ -104,16 +105,16 @@
     return peers_lib.Handed(size, gid)
 
   def serve_settle(self, ended: list[peers_lib.Ended]) -> None:
-    """Takes ended parts back from another router."""
+    """Settles parts that another router has finished with."""
     for part in ended:
       self._settler.settle_delegated(part)
 
   def retire_unowned(self) -> None:
-    """Retires grants of budgets that another router owns by now.
+    """Retires grants of budgets that another router now owns.
 
-    Owners change when routers come and go. The next owner takes a grant of
-    its own; what stayed here would lie idle, out of its reach. While the
-    KV is away nothing can be given back, and idle tokens may be needed.
+    Owners change when routers join or leave. The new owner takes its own grant,
+    and tokens left here would be idle and out of its reach. While the KV is
+    unavailable nothing can be returned, and idle tokens may be needed.
     """
     if not self._config.owned or self._writer.away:
       return
@@ -125,7 +126,7 @@
         row.retiring = True
 
   def write_off_parts(self) -> None:
-    """Counts the parts of routers that have gone as lost."""
+    """Counts the parts held by routers that are gone as lost."""
     rows = self._table.rows.values()
     for life in {p.holder for r in rows for p in r.parts.values()}:
       if not self._members.has_gone(life):
@@ -135,7 +136,7 @@
         self._table.write_off(part)
 
   async def recall_parts(self) -> None:
-    """Has other routers return parts that they do not use now."""
+    """Asks other routers to return the parts that they are not using."""
     for _ in range(_RECALL_ROUNDS):
       outstanding = {
           (row.budget, part.holder)
