--- a/mustardfall/budget/budget_view.py
+++ b/mustardfall/budget/budget_view.py
@@ -1,4 +1,4 @@
-"""What a router knows of the budgets that others draw on, too."""
+"""What a router knows of the budgets that it shares with other routers."""
 
 from collections.abc import Callable, Iterable
 from typing import NamedTuple
@@ -14,57 +14,57 @@
 
 
 class BudgetSnapshot(NamedTuple):
-  """Where a budget's tokens are, as far as one router knows."""
+  """The token counts of a budget, as far as one router knows them."""
 
   limit: int
   spent: int
   free: int
-  """In the ledger, for whoever asks."""
+  """Headroom in the ledger that any router may be granted."""
   elsewhere: int
-  """Held by other routers."""
+  """Granted to other routers."""
   lost: int
-  """Written off: dead routers held them."""
+  """Written off: held by routers that died."""
   seen_s: float
-  """Age of what is known of the ledger, seconds."""
+  """Seconds since the ledger was last read."""
   idle: int
-  """Held here and not set aside."""
+  """Held by this router and not in use."""
   drawable: int
-  """Of these, what may be set aside under the promises made."""
+  """Part of `idle` that the issued ceilings allow to be reserved."""
   reserved: int
-  """Set aside here for requests in flight."""
+  """Reserved by this router for requests in flight."""
   handed_on: int
-  """Parts of this router's grants that others hold."""
+  """Parts of this router's grants that other routers hold."""
 
 
 _INITIAL_EXHAUSTED_S = 0.5
-"""How long a budget that was found used up is believed to be, at first; twice
-as long each time it is found so again, since each look costs a call."""
+"""How long a budget is first treated as exhausted. The time doubles each time
+this is found again, since each check costs a call."""
 _MAX_EXHAUSTED_S = 4.0
-"""But no longer than this. A raised limit, or tokens that come free here, are
-noticed at once."""
+"""Upper bound of that time. A raised limit, or tokens freed on this router,
+take effect at once."""
 
 
 class _Exhausted(NamedTuple):
-  """A budget that was found used up."""
+  """A budget that was found exhausted."""
 
   tokens: int
-  """It could not give so many."""
+  """The smallest request that it could not cover."""
   until: float
   duration_s: float
   limit_version: int
 
 
 class BudgetView:
-  """The ledgers as last seen, the limits in force, and who owns what.
+  """The ledgers as last read, the limits in force and the owners of budgets.
 
   Args:
     config: how allotments are sized.
     clock: the time source.
-    members: who is up and owns what.
+    members: the routers that are up and the owners of budgets.
     table: this router's allotments.
     policy_of: returns a customer's policy.
-    limit_of: returns a budget's limit where the configuration sets it,
-      None where the ledger keeps its own.
+    limit_of: returns a budget's limit if the configuration sets it, None if the
+      ledger has its own.
     budgets: returns the budgets that the configuration sets.
   """
 
@@ -86,21 +86,21 @@
     self.limit_of = limit_of
     self._budgets = budgets
     self.ledgers: dict[str, ledger.Ledger] = {}
-    """Ledgers as last seen."""
+    """Ledgers as last read."""
     self._seen_at: dict[str, float] = {}
     self._targets: dict[str, int] = {}
-    """What to hold, worked out since the last sight or tick."""
+    """Tokens to hold by budget, computed since the last read or tick."""
     self._exhausted: dict[str, _Exhausted] = {}
-    """Budgets found used up."""
+    """Budgets that were found exhausted."""
 
   def update(self, budget: str, found: ledger.Ledger) -> None:
-    """Notes what a ledger was seen with."""
+    """Records a ledger that was read."""
     self.ledgers[budget] = found
     self._seen_at[budget] = self._clock.monotonic()
     self._targets.pop(budget, None)
 
   def snapshot(self, budget: str) -> BudgetSnapshot | None:
-    """Returns where a budget's tokens are; None: its ledger was never seen."""
+    """Returns a budget's token counts; None if its ledger was never read."""
     found = self.ledgers.get(budget)
     if found is None:
       return None
@@ -122,18 +122,19 @@
     )
 
   def owner(self, budget: str) -> members_lib.Member | None:
-    """Returns the other router to draw through; None: the KV itself."""
+    """Returns the other router that owns the budget; None: use the KV directly."""
     if not self._config.owned:
       return None
     owner = self._members.owner(budget)
     return None if owner.life == self._members.me.life else owner
 
   def preferred_sources(self, budget: str) -> list[members_lib.Member]:
-    """Returns the other routers to ask in turn before the KV.
+    """Returns the other routers to ask, in order, before the KV.
 
-    The owner; in a large fleet its deputies, too, as far as they lately gave
-    an answer. While the store turns owners away, all others would draw on
-    their budgets' records, and meet there by compare-and-swap.
+    This is the owner and, in a large fleet, its deputies (the next routers in
+    the budget's hash order), except for routers that did not answer recently.
+    If the store rejects calls of the owners, all other routers would otherwise
+    draw on their budgets' ledgers and conflict there by compare-and-swap.
     """
     owner = self.owner(budget)
     if owner is None:
@@ -144,21 +145,21 @@
     return [m for m in deputies if not self._members.is_suspected(m.life)]
 
   def owned_budgets(self) -> Iterable[str]:
-    """Returns the configured budgets that this router takes grants of."""
+    """Returns the configured budgets whose grants this router takes itself."""
     return (name for name in self._budgets() if self.owner(name) is None)
 
   def deputies(self, budget: str) -> list[members_lib.Member]:
-    """Returns the other routers to ask in turn while the KV is away."""
+    """Returns the other routers to ask, in order, if the KV does not answer."""
     if not self._config.owned and len(self._members.lives) == 1:
       return []
     me = self._members.me.life
     return [m for m in self._members.candidates(budget) if m.life != me]
 
   def is_exhausted(self, budget: str, tokens: int) -> bool:
-    """Whether the budget was just found unable to cover `tokens`.
+    """Whether the budget was recently found unable to cover `tokens`.
 
-    Then no waiting helps: not even all that is reserved or held would
-    cover them, should it come back unused.
+    Waiting does not help then: not even all reserved and held tokens would
+    cover them if they returned unused.
     """
     found = self._exhausted.get(budget)
     if found is None or tokens < found.tokens:
@@ -172,7 +173,7 @@
     return 0 if limit is None else limit.version
 
   def note_exhausted(self, budget: str, tokens: int) -> None:
-    """Notes that the budget cannot cover `tokens`, whatever comes back."""
+    """Records that the budget cannot cover `tokens`, whatever is returned."""
     now = self._clock.monotonic()
     before = self._exhausted.get(budget)
     duration_s = _INITIAL_EXHAUSTED_S
@@ -186,7 +187,7 @@
     )
 
   def max_available(self, budget: str, margin: float) -> int | None:
-    """Returns the most tokens that the budget could still give, if known."""
+    """Returns the most tokens that the budget can still provide, if known."""
     found = self.ledgers.get(budget)
     if found is None:
       return None
@@ -205,7 +206,7 @@
   def sizing_input(
       self, budget: str, limit: ledger.Limit
   ) -> holding.SizingInput:
-    """Returns what decisions about a budget's holdings are taken on."""
+    """Returns the figures for sizing this router's share of a budget."""
     found = self.ledgers.get(budget)
     return holding.SizingInput(
         limit=limit.tokens,
@@ -220,9 +221,9 @@
     )
 
   def target(self, budget: str) -> int | None:
-    """Returns how many tokens to hold, as of the last look at the ledger.
+    """Returns how many tokens to hold, as of the last read of the ledger.
 
-    None where the ledger keeps its own limit.
+    None if the ledger has its own limit.
     """
     limit = self.limit_of(budget)
     if limit is None:
@@ -234,20 +235,20 @@
     return found
 
   def tick(self) -> None:
-    """Has what to hold worked out anew: rates have changed."""
+    """Discards the computed targets, as draw rates have changed."""
     self._targets.clear()
 
   def _holder_count(self) -> int:
-    """Returns how many routers shall hold grants of a budget: its owners."""
+    """Returns how many routers should hold grants of a budget."""
     if self._config.owned:
       return self._members.regions
     return len(self._members.lives)
 
   def _others_rate(self, found: ledger.Ledger) -> float:
-    """Returns what other routers that are up draw, by their promises.
+    """Returns the rate at which other live routers draw, from their ceilings.
 
-    Of a router that holds several grants the latest promise counts: it is
-    the rate of all its draw.
+    If a router holds several grants, its latest ceiling counts: it is based on
+    the router's whole draw of the budget.
     """
     rates: dict[str, ceilings.Ceiling] = {}
     for gid in found.get("ceilings", {}):
@@ -263,7 +264,7 @@
     return drawn / max(self._config.ceiling_rate, 1e-9)
 
   def prune(self, before: float) -> None:
-    """Drops what was noted of budgets that are quiet since `before`."""
+    """Drops the state of budgets that have been idle since `before`."""
     for budget, found in list(self._exhausted.items()):
       if found.until < before:
         del self._exhausted[budget]
--- a/mustardfall/budget/holding.py
+++ b/mustardfall/budget/holding.py
@@ -1,8 +1,8 @@
-"""How much of a budget a router holds and promises: pure functions.
+"""Computes how much of a budget a router holds and how far it may draw.
 
-What a router holds bridges an outage of the store; what it promises is lost
-when it dies. Both take what is known and return what to do, so that the same
-functions run in the router, in experiments and in tests.
+Tokens held by a router cover an outage of the store; tokens below its ceiling
+are lost when it dies. These are pure functions, so that the router, experiments
+and tests run the same code.
 """
 
 from typing import NamedTuple
@@ -11,37 +11,38 @@
 from mustardfall.membership import members as members_lib
 
 _MIN_CEILING_GROWTH = 0.003
-"""Part of a budget's limit that a holder out of touch may draw a second at
-least. Small: a budget that has been quiet reports seldom, and all that its
-holder might have drawn since is lost with it."""
+"""Smallest growth of a ceiling per second, as a fraction of the budget's limit.
+It is small because a holder of an idle budget reports rarely, and all that it
+might have drawn since its last report is lost with it."""
 
 
 class SizingInput(NamedTuple):
-  """What a holder knows of one budget when it decides."""
+  """The figures from which a holder sizes its share of one budget."""
 
   limit: int
-  """Tokens of the budget in all."""
+  """The budget's limit, tokens."""
   free: int | None
-  """Tokens neither used nor held by anybody, as last seen; None: never."""
+  """Tokens neither used nor held by any router, as of the last read; None if
+  the ledger was never read."""
   held: int
-  """Tokens here that are not used for certain."""
+  """Tokens held by this router that are not known to be used."""
   rate: float
-  """Tokens drawn here a second, lately."""
+  """Tokens drawn per second by this router, recent average."""
   others_rate: float
-  """Tokens that other holders draw a second, by their promises."""
+  """Tokens drawn per second by other holders, estimated from their ceilings."""
   mean_request: float
-  """Tokens of a request here, in the mean."""
+  """Mean tokens reserved per request by this router."""
   holders: int
-  """Routers that shall hold grants of it."""
+  """Number of routers that should hold grants of the budget."""
 
 
 def target(sizing: SizingInput, config: settings.Allotment) -> int:
   """Returns how many tokens to hold.
 
-  A holder wants what it draws in an outage of the store, or an equal part of
-  what all hold, since a team may send its next request to any router. It
-  takes no more than its part of what is left: by its part of the draw, or
-  an equal one where that is more.
+  This covers the draw during an outage of the store, or an equal share of what
+  all routers hold if that is more, since a team may send its next request to
+  any router. It is limited to this router's share of the available tokens: by
+  its part of the draw, or an equal share if that is more.
   """
   available = sizing.held + (
       sizing.limit if sizing.free is None else sizing.free
@@ -57,17 +58,18 @@
 
 
 def equal_share(sizing: SizingInput, config: settings.Allotment) -> float:
-  """Returns the part of what is left that each router holds at least."""
+  """Returns the minimum fraction of the available tokens to hold."""
   return config.share_held / max(sizing.holders, 1)
 
 
 def slack(sizing: SizingInput, config: settings.Allotment) -> int:
-  """Returns how many tokens a holder may draw until it reports again.
+  """Returns how many tokens a holder may draw until its next report.
 
-  Enough for the draw between two reports and for a cut's first seconds. All
-  of it is lost with the holder, which hurts only if the budget runs out
-  later. So what holders risk together falls with the square of what is left:
-  an early cut refuses few, a death near the end loses little.
+  It covers the draw between two reports and the first seconds of a network
+  partition. All of it is lost with the holder, which matters only if the budget
+  runs out later. The total that all holders risk therefore falls with the
+  square of the available fraction: a partition early on causes few refusals,
+  and a death near the end of the budget loses little.
   """
   expected = (
       sizing.rate * config.slack_s + sizing.mean_request * config.requests_slack
@@ -81,13 +83,13 @@
 
 
 def ceiling_growth(sizing: SizingInput, config: settings.Allotment) -> float:
-  """Returns how many tokens a second more a holder out of touch may draw."""
+  """Returns a ceiling's growth without reports, tokens per second."""
   rate = max(sizing.rate, sizing.limit * _MIN_CEILING_GROWTH)
   return round(rate * config.ceiling_rate, 1)
 
 
 def _own_share(sizing: SizingInput) -> float:
-  """Returns the part of a budget that is this holder's to use."""
+  """Returns the fraction of a budget that this holder may use."""
   equal = 1.0 / max(sizing.holders, 1)
   drawn = sizing.rate + sizing.others_rate
   return max(equal, sizing.rate / drawn) if drawn else equal
@@ -96,8 +98,8 @@
 def report_interval_s(config: settings.Allotment, routers: int) -> float:
   """Returns the time between two reports of a router, seconds.
 
-  Longer in a larger fleet. Each report changes the ledgers of all budgets that
-  were drawn on, by compare-and-swap: with as many writers as routers, most
-  would find that another was first, and try again.
+  It grows with the fleet. Each report updates the ledgers of all budgets drawn
+  on by compare-and-swap. With as many writers as routers at a fixed interval,
+  most writes would conflict and be retried.
   """
   return config.report_s * max(1.0, routers / members_lib.CLOSE_FLEET)
--- a/mustardfall/budget/policy.py
+++ b/mustardfall/budget/policy.py
@@ -1,11 +1,11 @@
-"""What a customer weighs more, and what the budget code does about it.
-
-No budget is overspent under either weighting; they differ in what is
-done at the edge of a budget. Mahakama weighs overspend: it keeps a
-margin of each budget ungranted, a cushion for engines that generate more
-than they were allowed. Retourhuis weighs false refusals: it has no
-margin, and at the edge a request waits a moment for the reservations of
-others to settle, since they hold more than most answers use.
+"""Customers' preferences at the edge of a budget, and the resulting policies.
+
+No budget is overspent under either preference; they differ in how requests are
+treated when a budget is nearly used up. Mahakama prefers to avoid overspend: a
+margin of each budget is never granted, as a reserve for engines that generate
+more than they were allowed. Retourhuis prefers to avoid false refusals: there
+is no margin, and a request waits briefly for other requests' reservations to
+settle, since most answers use less than was reserved for them.
 """
 
 import enum
@@ -13,19 +13,20 @@
 
 
 class Preference(enum.StrEnum):
-  """Which of the two measures a customer weighs more."""
+  """Which error a customer prefers to avoid."""
 
   OVERSPEND = "overspend"
   FALSE_REFUSALS = "false_refusals"
 
 
 class Policy(NamedTuple):
-  """How the edge of a customer's budgets is treated."""
+  """How requests are treated when a budget is nearly used up."""
 
   margin: float
-  """Share of a budget's limit that is never granted."""
+  """Fraction of a budget's limit that is never granted."""
   max_wait_s: float
-  """Seconds a request may wait for tokens before it is refused."""
+  """Longest time that a request waits for tokens before it is refused, seconds.
+  """
 
 
 POLICIES = {
@@ -34,9 +35,9 @@
 }
 
 CONFIGURED_BUDGETS = Policy(margin=0.01, max_wait_s=0.05)
-"""For budgets that a platform's configuration sets, whoever the customer is.
-A hundredth is never granted: a request of ours that was cut off between its
-check and its send (a frozen host) may run after its tokens were given on.
-The wait lets reservations of answers that just ended come back; it ends
-within an eighth of the shortest objective, as a caller that is to be refused
-is better off trying again at once than waiting here."""
+"""Policy of budgets set by a platform's configuration, for all customers. The
+margin of one hundredth covers requests of a router that was frozen between its
+check and its send: they may run after their tokens were granted to others. The
+wait lets reservations of answers that just ended return. It ends within an
+eighth of the shortest objective, as a caller that will be refused is better off
+retrying at once than waiting here."""
--- a/mustardfall/budget/pool.py
+++ b/mustardfall/budget/pool.py
@@ -1,16 +1,16 @@
 """A router's share of the budgets: where a request's tokens come from.
 
-One router per region *owns* each budget, by consistent hashing over the
-routers that are up. It alone takes the budget's grants from the KV and
-hands parts of them on to the others, over HTTP. So a budget's free
-tokens lie in one place per region instead of in every router, which
-saves KV writes and refusals of requests that the budget could cover.
+One router per region *owns* each budget, by consistent hashing over the routers
+that are up. Only the owner takes the budget's grants from the KV; it delegates
+parts of them to the other routers over HTTP. A budget's free tokens are thus in
+one place per region instead of in every router, which saves KV writes and
+avoids refusing requests that the budget covers.
 
-Ownership is an optimisation, not a lock: a router that cannot reach the
-owner takes a grant from the KV itself, and two owners at once are safe,
-since each spends only what the KV granted it.
+Ownership is an optimisation, not a lock. A router that cannot reach the owner
+takes a grant from the KV itself, and two owners at once are safe, since each
+spends only what the KV granted it.
 
-`Pool` wires the parts together; each job has a module of its own.
+`Pool` connects the components; each has a module of its own.
 """
 
 import collections
@@ -41,15 +41,15 @@
   """A router's share of the budgets.
 
   Args:
-    config: the router's settings, whole.
+    config: the router's complete settings.
     clock: the time source.
-    members: who is up and owns what.
+    members: the routers that are up and the owners of budgets.
     peers: calls to other routers.
     writer: the batch writer to the KV.
     policy_of: returns a customer's policy.
-    limit_of: returns a budget's limit where the configuration sets it,
-      None where the ledger keeps its own.
-    clock_check: vouches for the wall clock, if anything does.
+    limit_of: returns a budget's limit if the configuration sets it, None if the
+      ledger has its own.
+    clock_check: compares the wall clock with other routers' clocks, if given.
     budgets: returns the budgets that the configuration sets.
   """
 
@@ -147,17 +147,18 @@
 
   @property
   def counts(self) -> collections.Counter[str]:
-    """What happened so far."""
+    """Event counters of all components."""
     return self._counts + self._settler.counts
 
   async def reserve(
       self, budget: str, tokens: int, customer: str
   ) -> allotment.Reservation | None:
-    """Sets `tokens` aside for a request.
+    """Reserves `tokens` for a request.
 
     Returns:
-      The reservation, or None when the budget, or the way to it, cannot
-      give that many now: the request must not run.
+      The reservation. None if the budget cannot provide that many now, or
+      neither the KV nor another router can be reached: the request must not
+      run.
     """
     return await self.acquirer.reserve(budget, tokens, customer)
 
@@ -176,7 +177,7 @@
     await self._settler.settle_parts()
 
   def update_from_ledger(self, budget: str, found: ledger.Ledger) -> None:
-    """Takes in what a ledger shows of this router's grants, and others'."""
+    """Updates this router's state from a ledger that was read."""
     now = self._clock.monotonic()
     self.budget_view.update(budget, found)
     for gid in self.table.by_budget.get(budget, ()):
@@ -186,14 +187,14 @@
         self.table.confirm_ceiling(gid, ceiling, now)
         self._settler.confirm_ceiling(gid, ceiling)
       if gid in found["lost"]:
-        # Taken for dead while it was cut off. A grant that is written off
-        # cannot grow: left in use, every refill would be refused.
+        # This router was unreachable and considered dead. A written-off grant
+        # cannot grow: if its row stayed in use, every refill would be refused.
         self.table.rows[gid].retiring = True
     self._settler.settle_strays(budget, found, self._granter.pending_gids)
     self.reviewer.schedule(budget, found)
 
   def retire(self, budget: str) -> None:
-    """Gives the budget's idle tokens back, soon; the rest as they end."""
+    """Returns the budget's idle tokens soon, the others as requests end."""
     for row in self.table.retire(budget):
       self._settler.settle_row(row)
     self._shrink_retired()
@@ -204,7 +205,7 @@
         self._settler.shrink(row)
 
   def tick(self, elapsed_s: float) -> None:
-    """Ages rows, settles finished ones, writes off what is gone."""
+    """Retires rows, settles finished ones and writes off lost parts."""
     now = self._clock.monotonic()
     for row in self.table.tick(now, elapsed_s):
       self._settler.settle_row(row)
@@ -229,10 +230,10 @@
       component.prune(quiet_since)
 
   async def stop(self) -> None:
-    """Hands everything back; called after the last request has ended.
+    """Returns everything; called after the last request has ended.
 
-    Parts still with other routers are called back first; what does not
-    come back stays granted, and its holders settle it in the ledger.
+    Parts held by other routers are recalled first. Those that are not returned
+    stay granted, and their holders settle them in the ledger.
     """
     self.acquirer.stopping = True
     await self.owner.recall_parts()
@@ -243,5 +244,5 @@
 
 
 def _unverified(moment: clock_lib.Moment) -> clock_lib.Moment:
-  """Vouches for nothing: no clocks are compared."""
+  """Returns `moment` without a clock error, as no clocks are compared."""
   return moment
--- a/mustardfall/budget/recalling.py
+++ b/mustardfall/budget/recalling.py
@@ -1,4 +1,4 @@
-"""Calls idle tokens of a budget back from whoever holds them."""
+"""Recalls idle tokens of a budget from the routers that hold them."""
 
 import collections
 
@@ -15,17 +15,17 @@
 
 
 class Recaller:
-  """Asks others for idle tokens, and gives this router's own back.
+  """Asks other routers for idle tokens and returns this router's own.
 
   Args:
     config: how often a budget may be recalled.
     clock: the time source.
-    members: who is up.
+    members: the routers that are up.
     peers: calls to other routers.
     table: this router's allotments.
-    settler: settles them.
-    reviewer: has what the dead held given back.
-    counts: what happened so far.
+    settler: settles allotments.
+    reviewer: has the grants of dead routers reviewed.
+    counts: event counters.
   """
 
   def __init__(
@@ -50,11 +50,11 @@
     self._recalled_at: dict[str, float] = {}
 
   async def recall(self, budget: str, found: ledger.Ledger) -> bool:
-    """Calls idle tokens back from whoever holds them; whether any may be.
+    """Recalls idle tokens; returns whether any router was asked.
 
-    A refusal while others hold idle tokens is a false one. At most one
-    recall per budget and `recall_s`, so that a used-up budget does not
-    cost the fleet a message storm.
+    A request refused while others hold idle tokens is a false refusal. A budget
+    is recalled at most once per `recall_s`, so that an exhausted budget does
+    not cause a storm of messages in the fleet.
     """
     now = self._clock.monotonic()
     last = self._recalled_at.get(budget, -float("inf"))
@@ -74,7 +74,7 @@
   def _holders(
       self, budget: str, found: ledger.Ledger
   ) -> list[members_lib.Member]:
-    """Returns the other routers that are up and hold tokens of a budget."""
+    """Returns the other live routers that hold tokens of a budget."""
     lives = {ledger.holder(gid) for gid in found["grants"]}
     lives |= self._table.holders(budget)
     lives.discard(self._members.me.life)
@@ -82,7 +82,7 @@
     return [up[life] for life in lives if life in up]
 
   async def serve(self, budget: str) -> None:
-    """Gives idle tokens of `budget` back before answering."""
+    """Returns idle tokens of `budget` before answering."""
     with anyio.CancelScope(shield=True):
       async with anyio.create_task_group() as tg:
         for row in self._table.retire(budget):
@@ -92,7 +92,7 @@
       await self._settler.settle_parts()
 
   def prune(self, before: float) -> None:
-    """Drops what was noted before then."""
+    """Drops the recall times before `before`."""
     for budget, at in list(self._recalled_at.items()):
       if at < before:
         del self._recalled_at[budget]
--- a/mustardfall/budget/refusals.py
+++ b/mustardfall/budget/refusals.py
@@ -1,4 +1,4 @@
-"""Memory of budgets that lately could not give what was asked."""
+"""Cache of budgets that recently could not provide the requested tokens."""
 
 from typing import NamedTuple
 
@@ -6,20 +6,20 @@
 
 
 class _Refusal(NamedTuple):
-  """A budget that lately could not give `tokens`."""
+  """A budget that recently could not provide `tokens`."""
 
   since: float
   until: float
-  """How long the refusal may be repeated from memory."""
+  """Until when the refusal may be repeated from the cache."""
   tokens: int
 
 
 class RefusalCache:
-  """Repeats refusals for a moment, so that they cost nothing.
+  """Caches refusals for a short time.
 
-  Without it each request on a used-up budget would cost a read of the KV
-  or a call to the owner. A top-up is noticed when the time of a refusal
-  is over, tokens that come back to this router at once.
+  Without it each request on an exhausted budget would cost a read of the KV or
+  a call to the owner. A top-up takes effect when the cached refusal expires;
+  tokens returned to this router do at once.
 
   Args:
     clock: the time source.
@@ -30,14 +30,14 @@
     self._by_budget: dict[str, _Refusal] = {}
 
   def add(self, budget: str, tokens: int, ttl_s: float) -> None:
-    """Notes that `budget` cannot give `tokens` now."""
+    """Records that `budget` cannot provide `tokens` now."""
     now = self._clock.monotonic()
     refusal = self._by_budget.get(budget)
     since = refusal.since if refusal is not None else now
     self._by_budget[budget] = _Refusal(since, now + ttl_s, tokens)
 
   def is_cached(self, budget: str, tokens: int) -> bool:
-    """Whether asking for `tokens` again would only be refused again."""
+    """Whether a request for `tokens` would be refused from the cache."""
     refusal = self._by_budget.get(budget)
     if refusal is None or tokens < refusal.tokens:
       return False
@@ -49,11 +49,11 @@
     return 0.0 if refusal is None else self._clock.monotonic() - refusal.since
 
   def remove(self, budget: str) -> None:
-    """Forgets a budget: it gives again."""
+    """Removes a budget that provides tokens again."""
     self._by_budget.pop(budget, None)
 
   def prune(self, before: float) -> None:
-    """Drops what was noted of budgets that are quiet since `before`."""
+    """Removes the refusals that expired before `before`."""
     for budget, refusal in list(self._by_budget.items()):
       if refusal.until < before:
         del self._by_budget[budget]
