--- a/mustardfall/accounts.py
+++ b/mustardfall/accounts.py
@@ -1,8 +1,8 @@
-"""Budgets and membership of one router, wired together over a KV store.
+"""Budgets and membership of one router, connected through a KV store.
 
-Whatever front a router has, its budgets work the same way: a batch
-writer, the lease-based membership, calls among routers and the pool of
-allotments. `Accounts` owns them and runs their loops.
+They work the same for every front end: a batch writer, lease-based membership,
+calls between routers and the pool of allotments. `Accounts` owns these
+components and runs their loops.
 """
 
 from collections.abc import Awaitable, Callable, Iterable
@@ -32,15 +32,15 @@
   """A router's share of the budgets, and the routers it shares them with.
 
   Args:
-    config: the router's settings, whole.
+    config: the router's complete settings.
     clock: the time source.
     kv: the KV store.
-    bus: told of changes.
+    bus: the event bus for changes.
     post: makes calls to other routers.
     policy_of: returns a customer's policy.
     limit_of: see `pool.Pool`.
     lease_of: returns the lease to attach to a key (0: none).
-    epoch: tells this life from others; drawn when left out.
+    epoch: distinguishes this life from others; random if empty.
     budgets: returns the budgets that the configuration sets.
   """
 
@@ -109,18 +109,18 @@
 
   @property
   def store_unreachable(self) -> bool:
-    """Whether no new tokens can be had, since the store does not answer."""
+    """Whether no new tokens can be granted because the store does not answer."""
     return not self._kv.reachable
 
   def balance(self, budget: str) -> ledger.Balance | None:
-    """Returns what the budget's ledger said when last seen, if ever."""
+    """Returns the budget's balance as last read; None if it was never read."""
     return self._balances.get(budget)
 
   async def fetch_balance(self, budget: str) -> ledger.Balance | None:
-    """Returns what the ledger says, read from the KV if it was never seen.
+    """Returns the budget's balance, read from the KV if it was never read.
 
-    One read per budget and router: from then on what was seen is known. None
-    when there is no such budget, or the KV does not tell.
+    This costs one read per budget and router; later calls use the balance last
+    read. None if there is no such budget or the KV does not answer.
     """
     if budget not in self._balances:
       try:
@@ -135,10 +135,10 @@
     return self.balance(budget)
 
   def loops(self) -> tuple[Callable[[], Awaitable[None]], ...]:
-    """Returns the loops that keep the accounts going, to be supervised.
+    """Returns the loops that keep the accounts up to date, to be supervised.
 
-    Who is up is followed beside them: by `members.follow`, or as a deployment
-    tells it.
+    The set of live routers is followed separately: by `members.follow`, or as
+    the deployment provides it.
     """
     return (
         self.writer.run,
@@ -155,7 +155,7 @@
       await self.pool.settle_parts()
 
   async def return_allotments(self) -> None:
-    """Hands every allotment back; called after the drain."""
+    """Returns every allotment and leaves the membership, after the drain."""
     await self.members.leave()
     await self.pool.stop()
 
@@ -165,15 +165,15 @@
     pause_s: float,
     on_failure: Callable[[], None],
 ) -> None:
-  """Runs a loop, again whenever it breaks, until cancelled.
+  """Runs a loop, restarting it whenever it fails, until cancelled.
 
-  A fault in one loop must not end the process: that would cut every
-  open stream off and write this router's allotments off.
+  A fault in one loop must not end the process: that would break every open
+  stream and write off this router's allotments.
   """
   while True:
     try:
       await loop()
-    except Exception:  # noqa: BLE001  whatever it is, streams go on
+    except Exception:  # noqa: BLE001  open streams must continue
       on_failure()
       logger.exception("loop failed", extra={"loop": loop.__qualname__})
     await anyio.sleep(pause_s)
--- a/mustardfall/budget/renewals.py
+++ b/mustardfall/budget/renewals.py
@@ -1,12 +1,12 @@
-"""Renews all of a router's promises at once, with one small write.
+"""Renews all of a router's ceilings at once, with one small write.
 
-A promise allows more the longer its holder is not heard of, so a holder that
-is well but has little to report seems to have drawn more and more. A renewal
-says: at this moment every promise still held, and counts anew from here. A
-later life of the router reads it when it judges what the dead one can have
-drawn.
+A ceiling grows with the time since its holder was last heard of. A live holder
+with little to report would thus appear to have drawn more and more. A renewal
+states that at this moment all ceilings still held without their growth, and
+restarts the growth from here. A later life of the router reads it to bound what
+the dead life can have drawn.
 
-Each router has a key of its own, so renewals meet no conflicts.
+Each router has its own key, so renewals do not conflict.
 """
 
 from collections.abc import Callable, Mapping
@@ -26,28 +26,28 @@
 
 PREFIX = "renewal/"
 _READ_RETRY_S = 0.1
-"""Between two reads of a store that did not answer."""
+"""Pause between two reads if the store does not answer."""
 _MAX_LIVES = 4
-"""Earlier lives whose last renewal is kept: a router that dies again before
-it has judged the life before leaves both to the next."""
+"""Number of lives whose last renewal is kept: a router that dies again before
+it has reviewed its previous life leaves both to the next one."""
 
 
 class Renewals(TypedDict):
-  """A router's value in the KV."""
+  """A router's renewals as stored in the KV."""
 
   lives: dict[str, list[float]]
   """Life to the moment of its last renewal."""
 
 
 class Renew(NamedTuple):
-  """Says that all promises of `life` hold, and count anew from `moment`."""
+  """States that all ceilings of `life` hold and grow again from `moment`."""
 
   life: str
   moment: clock_lib.Moment
 
 
 class Read(NamedTuple):
-  """Changes nothing; its writer reads what is there."""
+  """Changes nothing; used to read the key through the writer."""
 
 
 @change_lib.apply.register
@@ -69,7 +69,7 @@
 
 
 class Renewer:
-  """Renews this router's promises, and knows its earlier lives' renewals.
+  """Renews this router's ceilings and reads its earlier lives' renewals.
 
   Args:
     config: how often to renew.
@@ -77,7 +77,8 @@
     life: this router's life.
     table: its allotments.
     writer: the batch writer to the KV.
-    vouch: marks a moment of this host as agreed, if it is.
+    vouch: adds a clock error to a moment of this host if its clock was compared
+      with other routers' clocks.
   """
 
   def __init__(
@@ -98,15 +99,15 @@
     self._earlier_renewals: dict[str, clock_lib.Moment] = {}
     self._loaded = anyio.Event()
     self._unconfirmed: list[float] | None = None
-    """The moment of a renewal that was not heard of yet."""
+    """Moment of a renewal that was not yet seen in the KV."""
 
   @property
   def key(self) -> str:
-    """The key in the KV."""
+    """The router's key in the KV."""
     return PREFIX + self._life.rpartition(":")[0]
 
   def update(self, value: Renewals) -> None:
-    """Takes in what the KV holds."""
+    """Updates this router's state from the value in the KV."""
     for life, moment in value["lives"].items():
       if life != self._life:
         self._earlier_renewals[life] = clock_lib.Moment(*moment)
@@ -117,14 +118,14 @@
   async def earlier_renewals(
       self, timeout_s: float
   ) -> Mapping[str, clock_lib.Moment]:
-    """Returns the last renewals of earlier lives, as far as known by then."""
+    """Returns earlier lives' last renewals, waiting for a read of the KV."""
     if self._config.reports and not self._loaded.is_set():
       with anyio.move_on_after(timeout_s):
         await self._read_earlier()
     return self._earlier_renewals
 
   async def _read_earlier(self) -> None:
-    """Reads them: this life may never have a promise of its own to renew."""
+    """Reads the key: this life may never write a renewal of its own."""
     while not self._loaded.is_set():
       try:
         found = await self._writer.submit(self.key, Read())
@@ -137,12 +138,13 @@
       self._loaded.set()
 
   def renew(self) -> None:
-    """Renews soon, if all promises hold and the last renewal was heard of.
+    """Posts a renewal if all ceilings hold and the last one is confirmed.
 
-    A holder that was out of touch may have drawn more than it had promised
-    at first; it reports that before it renews. A renewal that is sent may
-    stand, so the holder counts from it at once. Sent again and again into a
-    silent store, they would keep it from drawing more when it must.
+    A holder that was unreachable may be using more than its ceilings allowed
+    without their growth; it reports that before it renews. A posted renewal may
+    be written, so the growth restarts at once. Repeated posts to a store that
+    does not answer would keep restarting it and block the holder from drawing
+    more when it must.
     """
     table = self._table
     if self._unconfirmed is not None or not table.has_issued_ceilings:
--- a/mustardfall/budget/reserving.py
+++ b/mustardfall/budget/reserving.py
@@ -1,4 +1,4 @@
-"""Reserves tokens for a caller that waits for a moment only."""
+"""Reserves tokens for a caller that waits for a limited time."""
 
 import logging
 
@@ -12,14 +12,15 @@
 
 
 class Reserver:
-  """Reserves soon, or gives up.
+  """Reserves tokens within a time limit.
 
-  What it may lead to (a grant asked of the store) goes on by itself: a
-  caller must not wait out a store that does not answer.
+  Work that a reservation starts, such as a grant request to the store,
+  continues in the background after the limit: a caller must not wait for a
+  store that does not answer.
 
   Args:
     pool: the budgets.
-    tasks: where work that outlives a request runs.
+    tasks: the task group for work that outlives a request.
     wait_s: how long a caller waits for tokens, seconds.
   """
 
@@ -33,15 +34,15 @@
   async def reserve(
       self, budget: str, tokens: int
   ) -> allotment.Reservation | None:
-    """Returns a reservation, or None when there was none in time."""
+    """Returns a reservation, or None if there was none in time."""
     pending = _PendingReservation()
 
     async def _reserve() -> None:
       try:
         pending.found = await self._pool.reserve(budget, tokens, budget)
-      except Exception:  # noqa: BLE001  it runs beside all other requests
-        # An error here would end the group of tasks that it runs in, and
-        # with it the router. The request goes without tokens.
+      except Exception:  # noqa: BLE001  other requests must continue
+        # An error here would cancel the task group and with it the router. The
+        # request goes without tokens.
         logger.exception("reservation failed", extra={"budget": budget})
       pending.done.set()
       if pending.abandoned:
@@ -53,8 +54,8 @@
         await pending.done.wait()
       return pending.take()
     finally:
-      # A caller that leaves in the very moment in which its tokens come
-      # has not taken them; kept, they would be set aside for ever.
+      # A caller cancelled at the moment when its tokens arrive has not taken
+      # them; without this they would stay reserved forever.
       pending.abandoned = True
       self._return(pending.take())
 
@@ -64,7 +65,7 @@
 
 
 class _PendingReservation:
-  """A reservation that is being made, and whether anybody still waits."""
+  """A reservation in progress, and whether its caller still waits."""
 
   def __init__(self) -> None:
     self.done = anyio.Event()
@@ -72,6 +73,6 @@
     self.abandoned = False
 
   def take(self) -> allotment.Reservation | None:
-    """Returns the reservation, to one taker only."""
+    """Returns the reservation to the first call only."""
     found, self.found = self.found, None
     return found
--- a/mustardfall/budget/retry_hint.py
+++ b/mustardfall/budget/retry_hint.py
@@ -1,19 +1,19 @@
-"""When a caller that was refused for want of tokens is asked to come back."""
+"""Suggests when a caller refused for lack of tokens should retry."""
 
 _TOKENS_BACK_S = 1.5
 """Parts are given back after 1.5 s, most streams end sooner."""
 _RETURN_SHARE = 0.33
-"""Part of its time that a caller is kept away; what is left is enough for
+"""Part of its time that a caller is told to wait; what is left is enough for
 the longest answers, and callers heed no more than a third."""
 
 
 def max_retry_s(store_unreachable: bool, left_s: float) -> float:
-  """Returns when it may be worth to ask for tokens again, at most.
+  """Returns the longest useful wait before the caller retries, seconds.
 
-  Reservations and parts come back within a second or so. While the store
-  is away nothing comes but what others hold, and outages last seconds: a
-  caller that returns at once is only refused again, so it is asked back
-  as late as still leaves it the time for its answer.
+  Reservations and parts come back within a second or so. While the store is
+  unavailable, only tokens that other routers hold come back, and outages last
+  seconds. A caller that retries at once is only refused again, so it is told to
+  wait as long as still leaves it the time for its answer.
 
   Args:
     store_unreachable: whether the store does not answer this router.
--- a/mustardfall/budget/reviewing.py
+++ b/mustardfall/budget/reviewing.py
@@ -1,4 +1,4 @@
-"""Gives back what dead routers held of budgets and cannot have drawn."""
+"""Returns tokens that dead routers held and cannot have drawn."""
 
 import collections
 import logging
@@ -18,31 +18,31 @@
 logger = logging.getLogger(__name__)
 
 _ROUND_PAUSE_S = 0.05
-"""Between two rounds of reviews."""
+"""Pause between two rounds of reviews."""
 _CLOCK_WAIT_S = 1.5
 """How long a review waits for the clocks to be compared. Routers that lost
-power together are back within a second of each other; what the clocks do
-not tell by then is written off for good."""
+power together are up again within a second of each other. What cannot be
+bounded by then is written off for good."""
 _RENEWALS_WAIT_S = 1.5
-"""How long a review waits for the renewals of earlier lives, which come with
+"""How long a review waits for the renewals of earlier lives, which arrive with
 this life's first: one call, once the store answers."""
 _REVIEW_RETRY_S = 1.0
-"""A review is asked for again after this. A router that has just started
-may not be reached at once; each sight of the ledger asks again."""
+"""A review is requested again after this time. A router that has just started
+may not be reachable yet; each read of the ledger triggers another request."""
 
 
 class Reviewer:
-  """Finds grants of dead routers and has their later lives judge them.
+  """Has the grants of dead routers reviewed by those routers' later lives.
 
   Args:
     clock: the time source.
-    members: who is up.
+    members: the routers that are up.
     peers: calls to other routers.
     budget_view: what is known of the budgets.
     writer: the batch writer to the KV.
-    clock_check: vouches for the wall clock, if anything does.
-    renewer: knows when earlier lives renewed their promises.
-    counts: what happened so far.
+    clock_check: compares the wall clock with other routers' clocks, if given.
+    renewer: knows when earlier lives renewed their ceilings.
+    counts: event counters.
   """
 
   def __init__(
@@ -66,10 +66,10 @@
     self._counts = counts
     self._started = clock.started()
     self._pending_reviews: set[tuple[str, str]] = set()
-    """Later lives of dead routers, and budgets that they are to review."""
+    """Later lives of dead routers, and the budgets that they are to review."""
     self._wake = anyio.Event()
     self._asked_at: dict[str, float] = {}
-    """When a review was last asked for, by grant."""
+    """When a review was last requested, by grant."""
 
   def _vouch(self, moment: clock_lib.Moment) -> clock_lib.Moment:
     check = self._clock_check
@@ -78,7 +78,7 @@
   def find_reviews(
       self, budget: str, found: ledger.Ledger
   ) -> set[tuple[str, str]]:
-    """Returns who can give back what dead routers held of a budget."""
+    """Returns the routers that can review dead routers' grants of a budget."""
     reviews = set()
     now = self._clock.monotonic()
     for gid in found.get("ceilings", {}):
@@ -90,14 +90,14 @@
     return reviews
 
   def schedule(self, budget: str, found: ledger.Ledger) -> None:
-    """Has what a ledger shows of dead routers reviewed soon."""
+    """Schedules reviews of the dead routers' grants that a ledger shows."""
     reviews = self.find_reviews(budget, found)
     if reviews:
       self._pending_reviews |= reviews
       self._wake.set()
 
   async def run(self) -> None:
-    """Has what dead routers held of budgets given back, until cancelled."""
+    """Runs scheduled reviews until cancelled."""
     while True:
       await self._wake.wait()
       self._wake = anyio.Event()
@@ -105,14 +105,14 @@
       await anyio.sleep(_ROUND_PAUSE_S)
 
   async def review_pending(self) -> None:
-    """Has the grants of dead routers reviewed that were seen so far."""
+    """Runs the reviews scheduled so far."""
     reviews, self._pending_reviews = self._pending_reviews, set()
     async with anyio.create_task_group() as tg:
       for life, budget in reviews:
         tg.start_soon(self.review_one, life, budget)
 
   async def review_one(self, life: str, budget: str) -> None:
-    """Has the router life `life` review what it held before."""
+    """Has router life `life` review the grants of its earlier lives."""
     if life == self._members.me.life:
       await self._review_own(budget)
       return
@@ -121,10 +121,10 @@
       await self._peers.review(member, budget)
 
   async def serve(self, budget: str) -> None:
-    """Gives back what earlier lives of this router did not draw.
+    """Returns what earlier lives of this router did not draw.
 
-    At once, or soon when the clocks have not been compared yet: a caller
-    does not wait for that.
+    Runs at once, or in the background if the clocks have not been compared yet,
+    so that the calling router does not wait for that.
     """
     if self._clock_check is None or self._clock_check.agrees:
       await self._review_own(budget)
@@ -151,7 +151,7 @@
       _log_reviews(budget, change, before, after)
 
   def prune(self, before: float) -> None:
-    """Drops what was noted before then."""
+    """Drops the request times before `before`."""
     for gid, at in list(self._asked_at.items()):
       if at < before:
         del self._asked_at[gid]
--- a/mustardfall/budget/settling.py
+++ b/mustardfall/budget/settling.py
@@ -1,7 +1,7 @@
-"""Settling what is done with: rows with the ledger, parts with owners.
+"""Settles finished allotments: rows with the ledger, parts with owners.
 
-Everything here may be repeated: the ledger's changes and the owners'
-tables know what they have seen. Nothing here waits for a request.
+All operations are idempotent: the ledger's changes and the owners' tables
+recognise repeats. No request waits for them.
 """
 
 import collections
@@ -15,7 +15,8 @@
 from mustardfall.membership import peers as peers_lib
 
 _OWNER_RETENTION_S = 600.0
-"""An owner gone for this long is not paused; it will not come back."""
+"""An owner absent for longer than this is dead, not paused, and needs no
+settlement any more."""
 
 
 class Settler:
@@ -23,7 +24,7 @@
 
   Args:
     table: the router's allotments.
-    members: who is up.
+    members: the routers that are up.
     peers: calls to other routers.
     writer: the batch writer to the KV.
   """
@@ -41,16 +42,16 @@
     self._writer = writer
     self.counts: collections.Counter[str] = collections.Counter()
     self._settling_gids: dict[str, set[str]] = {}
-    """Grants with a settlement on its way, by budget."""
+    """Grants with a settlement in progress, by budget."""
     self._reported_use: dict[str, int] = {}
-    """What was reported of grants, or is about to be."""
+    """Tokens of each grant that were reported, or are about to be."""
     self._unconfirmed_reports: dict[str, ceilings_lib.Ceiling | None] = {}
-    """Reports on their way, by grant, with what they promise."""
+    """Ceiling sent with each grant's report in progress."""
     self._ended: dict[str, list[tuple[peers_lib.Ended, allotment.Row]]] = {}
-    """Parts to settle, by the life of the owner that handed them on."""
+    """Parts to settle, by the life of the owner that delegated them."""
 
   def settle_row(self, row: allotment.Row) -> None:
-    """Settles a finished row where it came from, some time soon."""
+    """Settles a finished row with its owner or the ledger, in the background."""
     if row.source:
       self.queue_ended(row)
       return
@@ -60,21 +61,23 @@
     self._writer.post(ledger.key(row.budget), _settlement(row))
 
   def needs_report(self, row: allotment.Row) -> bool:
-    """Whether a row has used more than was reported, and none is under way.
+    """Whether a row has unreported usage and no report in progress.
 
-    While the KV is away one report waits; more would only queue behind it.
+    While the KV is unavailable one report waits; others would only queue behind
+    it.
     """
     if row.source or row.gid in self._unconfirmed_reports:
       return False
-    # A row that drew more than it had promised at first needs a new promise
-    # even if it is quiet since: until then none of the promises is renewed.
+    # A row that uses more than its ceilings allowed without their growth needs
+    # a new ceiling even if it is idle since: until then none of the ceilings is
+    # renewed.
     overdrawn = not row.within_issued_ceilings
     return overdrawn or _total_used(row) > self._reported_use.get(row.gid, 0)
 
   def report(
       self, row: allotment.Row, ceiling: ceilings_lib.Ceiling | None
   ) -> None:
-    """Reports what a row has used so far, some time soon."""
+    """Posts a report of what a row has used so far."""
     self._reported_use[row.gid] = _total_used(row)
     if ceiling is not None:
       self._unconfirmed_reports[row.gid] = ceiling
@@ -83,11 +86,11 @@
   async def report_now(
       self, row: allotment.Row, ceiling: ceilings_lib.Ceiling
   ) -> None:
-    """Reports at once, for the sake of the promise that comes with it.
+    """Reports usage and waits until the ceiling sent with it is written.
 
     Raises:
       errors.KvUnavailableError: not written.
-      errors.KvUnknownError: it may have been written.
+      errors.KvUnknownError: possibly written.
     """
     total = _total_used(row)
     await self._writer.submit(
@@ -96,23 +99,23 @@
     self._reported_use[row.gid] = total
 
   def confirm_ceiling(self, gid: str, ceiling: ceilings_lib.Ceiling) -> None:
-    """Notes the promise that a ledger was seen with."""
+    """Records the ceiling that a ledger was read with."""
     sent = self._unconfirmed_reports.get(gid)
     if sent is not None and sent.issued <= ceiling.issued:
       del self._unconfirmed_reports[gid]
 
   def shrink(self, row: allotment.Row) -> None:
-    """Gives back soon what a retired row has left, while requests draw on it.
+    """Posts the return of a retired row's unused tokens.
 
-    A router that is cut off from it, or a stream that lasts, may hold a
-    retired row for long; nothing else may draw on the rest meanwhile.
+    A router that is unreachable, or a long stream, may keep a retired row open
+    for long; nothing else could use the remainder meanwhile.
     """
     change = _shrink_change(row)
     if change is not None:
       self._writer.post(ledger.key(row.budget), change)
 
   async def shrink_now(self, row: allotment.Row) -> None:
-    """Does so and waits for it, or leaves it to be tried again."""
+    """Like `shrink`, but waits for the write; posts it again if it fails."""
     change = _shrink_change(row)
     if change is None:
       return
@@ -122,7 +125,7 @@
       self._writer.post(ledger.key(row.budget), change)
 
   async def settle_now(self, row: allotment.Row) -> None:
-    """Settles a row and waits for it, or leaves it to be tried again."""
+    """Settles a row and waits for the write; posts it again if it fails."""
     if row.source:
       self.settle_row(row)
       return
@@ -133,21 +136,21 @@
       self.settle_row(row)
 
   def queue_ended(self, row: allotment.Row) -> None:
-    """Leaves a finished part to be settled with its owner."""
+    """Queues a finished part to be settled with its owner."""
     ended = peers_lib.Ended(row.gid, row.own_drawn)
     self._ended.setdefault(row.source, []).append((ended, row))
 
   async def settle_parts(self) -> None:
-    """Settles ended parts with the owners that handed them on.
+    """Settles ended parts with the owners that delegated them.
 
-    When an owner has gone, its parts are settled in the ledger itself.
-    They are kept all the same: an owner that was only paused must hear
-    of them when it is back, or it would wait for them for ever.
+    If an owner is gone, its parts are settled in the ledger. They stay queued,
+    because an owner that was only paused must learn of them when it returns;
+    otherwise it would wait for them forever.
     """
     for life in list(self._ended):
       batch = self._ended.pop(life, None)
       if batch is None:
-        continue  # a recall settles them at this very moment
+        continue  # being settled concurrently, by a recall
       owner = self._members.lives.get(life)
       if owner is not None:
         if await self._peers.settle(owner, [ended for ended, _ in batch]):
@@ -160,7 +163,7 @@
       self._ended.setdefault(life, []).extend(batch)
 
   def _settle_orphan(self, ended: peers_lib.Ended, row: allotment.Row) -> None:
-    """Settles a part in the ledger, once, since its owner has gone."""
+    """Settles a part in the ledger, once, because its owner is gone."""
     if row.settled_in_ledger:
       return
     change = ledger.SettlePart(row.source_gid, row.gid, row.granted, ended.used)
@@ -169,20 +172,21 @@
     self.counts["orphan_parts"] += 1
 
   def settle_orphans(self) -> None:
-    """Settles what is left in the ledger, whether its owner is gone or not.
+    """Settles the remaining parts in the ledger, whether or not owners are up.
 
-    For a router that stops: it cannot wait for an owner to answer.
+    Used by a router that stops, which cannot wait for an owner to answer.
     """
     for batch in self._ended.values():
       for ended, row in batch:
         self._settle_orphan(ended, row)
 
   def settle_delegated(self, ended: peers_lib.Ended) -> None:
-    """Takes a part that another router has done with."""
+    """Settles a part that another router has finished with."""
     part, used = ended
     left = self._table.outstanding_parts.pop(part, None)
     if left is not None:
-      # This router stopped without the part; the ledger still counts it.
+      # The part was outstanding when this router stopped; the ledger still
+      # counts it.
       change = ledger.SettlePart(left.gid, part, left.tokens, used)
       self._writer.post(ledger.key(left.budget), change)
       return
@@ -193,12 +197,12 @@
   def settle_strays(
       self, budget: str, found: ledger.Ledger, pending_gids: set[str]
   ) -> None:
-    """Ends grants seen in a ledger that nobody draws on any more.
+    """Ends grants in a ledger that no router draws on any more.
 
-    A grant whose reply was lost may land after this router gave it up:
-    it is its own, unknown to it and unused, so it is settled with
-    nothing used. A grant of a router that has gone is written off, unless
-    a later life of that router is there to say what was not drawn of it.
+    A grant whose reply was lost may be written after this router gave it up. It
+    belongs to this router but has no row, so it is settled as unused. A grant
+    of a router that is gone is written off, unless a later life of that router
+    can review it.
     """
     in_progress = self._settling_gids.get(budget, set())
     in_progress &= found["grants"].keys()
@@ -224,11 +228,11 @@
 
 
 def _shrink_change(row: allotment.Row) -> ledger.Shrink | None:
-  """Returns the change that gives a retired row's rest back, if it has one.
+  """Returns the change that returns a retired row's unused tokens, if any.
 
-  The rest is taken off the row at once. Nothing draws on a retired row, so
-  nothing is lost or drawn twice if the ledger shows the old figure for a
-  while, or if the change is passed over and made again.
+  They are removed from the row at once. Nothing draws on a retired row, so no
+  token is lost or used twice if the ledger shows the old size for a while, or
+  if the change does not apply and is made again.
   """
   tokens = row.undrawn
   if row.source or not row.retiring or tokens <= 0:
@@ -238,7 +242,7 @@
 
 
 def _total_used(row: allotment.Row) -> int:
-  """Returns the tokens of a row that were used for certain."""
+  """Returns the tokens of a row that are known to be used."""
   return row.used + sum(row.parts_used.values())
 
 
