--- a/tests/test_allotment.py
+++ b/tests/test_allotment.py
@@ -1,4 +1,4 @@
-"""A router's allotment table: parts handed on, late and repeated messages."""
+"""Tests of the allotment table: delegated parts, late and repeated messages."""
 
 import testtools
 
@@ -15,16 +15,16 @@
 class PartTest(testtools.TestCase):
 
   def test_repeated_ask_gets_the_same_part(self):
-    # The owner's answer was lost and the router asks again: it gets the
-    # part it was given, not a second one.
+    # The owner's reply was lost and the router asks again: it must get the same
+    # part, not a second one.
     table = _table()
     first = table.delegate("b", "r2:e:1", 10, 40, 1.0)
     self.assertEqual(first, table.delegate("b", "r2:e:1", 10, 40, 1.0))
     self.assertEqual(60, table.rows["r1:e:1"].free)
 
   def test_late_ask_does_not_revive_an_ended_part(self):
-    # The asker gave up and settled the part as unused; then its first
-    # ask arrives, late. Handed on now, the tokens would never come back.
+    # The router gave up and settled the part as unused, then its first request
+    # arrives late. Tokens delegated now would never be returned.
     table = _table()
     table.settle_delegated("r2:e:1", 0)
     self.assertEqual((0, ""), table.delegate("b", "r2:e:1", 10, 40, 1.0))
@@ -37,15 +37,15 @@
     self.assertEqual(85, table.rows["r1:e:1"].free)
 
   def test_parts_of_a_part_are_not_handed_on(self):
-    # Only what the KV granted may be handed on: the ledger could not
-    # settle a part of a part when its owner has gone.
+    # Only KV grants may be delegated: the ledger could not settle a part of a
+    # part whose owner is gone.
     table = allotment.Table("r1:e", settings.Allotment())
     table.add("b", table.new_gid(), 100, 0.0, source="r3:e", source_gid="g")
     self.assertEqual((0, ""), table.delegate("b", "r2:e:1", 10, 40, 1.0))
 
   def test_overrun_is_billed_and_shown(self):
-    # An engine generates more than it was allowed. Hiding the rest would
-    # hide an overspend from the customer that weighs it most.
+    # An engine generates more than it was allowed. Not billing the overrun
+    # would hide an overspend.
     table = _table()
     settled = table.settle(table.reserve("b", 10), 25)
     self.assertEqual((25, 15), settled)
--- a/tests/test_ceilings.py
+++ b/tests/test_ceilings.py
@@ -1,10 +1,10 @@
-"""What a dead router held comes back, but for what it may have drawn.
+"""Tests that a dead router's grants return, except what it may have drawn.
 
-Pattern: the users' days. All routers die at the end of most days, some also
-in between, and start anew within some seconds; the KV is away for 8 s twice
-a day. What bridges the outage is many times what a router draws between two
-reports. Written off whole at each death, it was a sixth to a quarter of a
-budget, and every third request after was refused.
+Guards against loss of budget when routers die. All routers may die at the end
+of a day or in between and restart within seconds, and the KV is unavailable for
+8 s twice a day. A grant sized for the outage is many times what a router draws
+between two reports. Written off whole at each death, grants cost a sixth to a
+quarter of a budget, and every third later request was refused.
 """
 
 from hypothesis import given
@@ -23,7 +23,7 @@
 
 
 def _at(boot_s: float, wall_s: float | None = None, error_s=None):
-  """Returns a moment; both clocks alike unless told otherwise."""
+  """Returns a moment; the wall clock equals the boot clock by default."""
   return clock_lib.Moment(boot_s, boot_s if wall_s is None else wall_s, error_s)
 
 
@@ -43,7 +43,8 @@
     self.assertTrue(2.0 <= elapsed_s <= 2.5, elapsed_s)
 
   def test_time_of_suspension_counts(self):
-    # Steady clocks stand still while a host is suspended, these two don't.
+    # Monotonic clocks stop while a host is suspended; the boot clock and the
+    # wall clock do not.
     elapsed_s = ceilings.max_elapsed_s(_at(100.0), _at(108.0))
     self.assertTrue(elapsed_s >= 8.0, elapsed_s)
 
@@ -52,9 +53,9 @@
     self.assertAlmostEqual(2.0 + ceilings._DEFAULT_WALL_ERROR_S, elapsed_s)
 
   def test_boot_clock_may_start_anew_anywhere(self):
-    # Taken for the time since the host was switched on, a boot clock that
-    # began at 54,600 s left a negative time: the clocks seemed to tell
-    # nothing, and all that the dead router held was lost.
+    # The boot clock may start at any value, here 54,600 s. Interpreted as the
+    # time since power-on, it yielded a negative time, so no bound was found and
+    # all that the dead router held was lost.
     issued, started = _at(55_733.7, 293.9, 0.01), _at(54_640.0, 295.8, 0.01)
     elapsed_s = ceilings.max_elapsed_s(issued, started)
     self.assertAlmostEqual(1.92, elapsed_s)
@@ -67,8 +68,8 @@
     self.assertAlmostEqual(7.0, ceilings.max_elapsed_s(alone, started))
 
   def test_stepped_wall_clock_of_one_boot_is_not_believed(self):
-    # The boot clock says 2 s and the wall clock -0.4: no one boot, as far
-    # as one can tell, so the wall clock counts with its error.
+    # The boot clock measures 2 s and the wall clock -0.4 s: this cannot be
+    # confirmed as one boot, so the wall clock counts with its error.
     elapsed_s = ceilings.max_elapsed_s(_at(100.0), _at(102.0, 99.6))
     self.assertTrue(elapsed_s >= 2.0, elapsed_s)
 
@@ -95,8 +96,8 @@
     return change.apply(ledger.Reclaim(life, _at(at_s)), found)
 
   def test_what_lies_above_the_ceiling_comes_back(self):
-    # 600 granted, 100 reported as used, at most 180 in use for 2 s: killed
-    # and back after 1.5 s, the router has lost 80 of its budget, not 500.
+    # 600 granted, 100 reported as used, at most 180 in use for 2 s: a router
+    # killed and restarted within 1.5 s loses 80 of its budget, not 500.
     ceiling = ceilings.Ceiling(180, 2.0, 30.0, _at(50.0))
     after = self._reclaim(_granted(ceiling, used=100), 51.5)
     self.assertEqual((80, 820), (ledger.lost(after), ledger.headroom(after)))
@@ -108,7 +109,7 @@
     self.assertEqual(80 + 30 * 4, ledger.lost(after))
 
   def test_written_off_before_it_is_reviewed(self):
-    # Another router takes the dead one for gone before it is back.
+    # Another router writes the dead one's grant off before it restarts.
     ceiling = ceilings.Ceiling(180, 2.0, 30.0, _at(50.0))
     found = _granted(ceiling, used=100)
     found = change.apply(ledger.WriteOff("a:1:1"), found)
@@ -127,8 +128,8 @@
     self.assertIsNone(self._reclaim(after, 51.0, life="a:3"))
 
   def test_part_of_a_dead_holder_is_settled_after_the_review(self):
-    # The dead router had handed 70 of its grant on; whoever holds them
-    # settles in the ledger, and no token comes back twice.
+    # The dead router had delegated 70 tokens of its grant. The holder of that
+    # part settles it in the ledger, and no token is returned twice.
     ceiling = ceilings.Ceiling(180, 2.0, 30.0, _at(50.0))
     after = self._reclaim(_granted(ceiling, used=100), 51.0)
     settle = ledger.SettlePart("a:1:1", "b:1:9", 70, 25)
@@ -181,7 +182,8 @@
     self.assertEqual(600, self.row.free)
 
   def test_promise_of_unknown_fate_and_the_one_before_it_both_bind(self):
-    # The answer to the second report was lost: the ledger may hold either.
+    # The reply to the second report was lost: the ledger may hold either
+    # ceiling.
     first = self._issue(100, 0.0)
     second = self._issue(300, 1.0)
     self.assertEqual(100, self.row.free)
@@ -198,15 +200,16 @@
     self.assertEqual(200, self.row.free)
 
   def test_near_the_end_of_a_budget_little_is_at_risk(self):
-    # 120 of 1,000 tokens are left and 50 a second drawn: two seconds of draw
-    # would be all but 20 of it, lost at the next death. A fourth of what is
-    # left, times the part that is left, is 3.6.
+    # 120 of 1,000 tokens are left and 50 a second are drawn. Two seconds of
+    # draw would be 100 of these 120 tokens, all lost at the next death. A
+    # fourth of what is left, times the fraction that is left, is 3.6.
     sizing = holding.SizingInput(1_000, 100, 20, 50.0, 0.0, 10.0, holders=1)
     self.assertEqual(3, holding.slack(sizing, self.config))
     self.assertEqual(110, holding.slack(sizing._replace(free=980), self.config))
 
   def test_holders_that_draw_alike_risk_their_parts_together(self):
-    # Four draw alike on the 400 that are left: each may risk a fourth of 40.
+    # Four holders draw equally on the remaining 400 tokens: each may risk a
+    # fourth of 40.
     sizing = holding.SizingInput(1_000, 370, 30, 50.0, 150.0, 10.0, holders=4)
     self.assertEqual(10, holding.slack(sizing, self.config))
 
--- a/tests/test_drawing.py
+++ b/tests/test_drawing.py
@@ -1,4 +1,4 @@
-"""Grants are taken in the background, one at a time per budget."""
+"""Tests of grant requests in the background, one at a time per budget."""
 
 import testtools
 
@@ -14,9 +14,9 @@
     self.addCleanup(self.machine.portal_cm.__exit__, None, None, None)
 
   def test_grant_that_a_failed_run_left_behind_is_taken_again(self):
-    # What the caller sees: 429 from one router for one budget, for ever. The
-    # loop that takes grants failed and took the task of a grant with it
-    # before its first step; started again, it took the grant for under way.
+    # Guards against 429 from one router for one budget, forever. The loop that
+    # requests grants failed and cancelled a grant's task before its first step;
+    # after its restart it considered the grant still in progress.
     acquirer = self.machine.world.pools["r1"].acquirer
     acquirer._pending_grants["b"] = acquiring._PendingGrant()
     self.machine.reserve("r1", 20)
@@ -25,7 +25,7 @@
     self.assertFalse(acquirer.busy)
 
   def test_failed_grant_keeps_nobody_waiting(self):
-    # The store turns this router away: its callers go on to a deputy at
+    # The store rejects this router's calls: its callers move on to a deputy at
     # once, and the deputy's grant serves them.
     self.machine.partition("r1")
     self.machine.reserve("r1", 20)
@@ -35,9 +35,9 @@
     self.assertEqual(0, counts["grants"])
 
   def test_slow_store_is_waited_for_when_nobody_else_has_tokens(self):
-    # What the caller sees: 429 from a fleet whose budgets are full, while
-    # each of the store's answers takes a tenth of a second. No router holds
-    # tokens yet, so there is nothing but the store to get them from.
+    # Guards against 429 from a fleet whose budgets are full, while each reply
+    # of the store takes a tenth of a second. No router holds tokens yet, so
+    # only the store can provide them.
     self.machine.lose_peer_calls("ask")
     self.machine.server.change_faults({"delay_s": 0.1})
     self.machine.reserve("r1", 20)
--- a/tests/test_hold.py
+++ b/tests/test_hold.py
@@ -1,9 +1,9 @@
-"""How much of a budget a router holds, and risks, at once.
+"""Tests of how much of a budget a router holds, and risks, at once.
 
-Pattern: the users' days. The store is away for 8 s, twice a day, and what
-routers hold bridges it; all routers die at the end of most days, and what
-they hold is written off. A holder that counted only its free tokens held
-twice what it meant to: parts of its grant lay with the others.
+The store is unavailable for 8 s twice a day and the tokens held by routers
+cover it; all routers die at the end of most days, and what they hold is written
+off. Guards against a holder that counts only its free tokens and so holds twice
+its target, because it delegated parts of its grant.
 """
 
 import testtools
@@ -23,7 +23,7 @@
 
 
 def _view(**known) -> holding.SizingInput:
-  """Returns what a holder knows of a budget that nobody drew on yet."""
+  """Returns the sizing input for a budget that nobody has drawn on yet."""
   usual = {
       "limit": _LIMIT,
       "free": _LIMIT,
@@ -43,7 +43,7 @@
 class HoldTest(testtools.TestCase):
 
   def test_holds_the_draw_of_an_outage_and_a_share_at_most(self):
-    # 7 s of 30,000 tokens a second and two requests.
+    # 7 s at 30,000 tokens per second plus two requests.
     self.assertEqual(220_000, _target(rate=30_000.0))
     self.assertEqual(350_000, _target(rate=90_000.0))
     self.assertEqual(100_000, _target(rate=10.0))
@@ -54,8 +54,8 @@
     self.assertEqual([290_000, 175_000, 70_000, 17_500, 0], holds)
 
   def test_holders_together_hold_no_more_than_one_alone(self):
-    # One of four that draw alike: each wants 220,000 and gets a fourth of
-    # what one alone may hold.
+    # One of four routers with equal draw: each wants 220,000 and gets a fourth
+    # of what a single router may hold.
     found = _target(rate=30_000.0, others_rate=90_000.0, holders=4)
     self.assertEqual(350_000 // 4, found)
 
@@ -64,13 +64,13 @@
     self.assertEqual(280_000, found)
 
   def test_quiet_holder_has_an_equal_part(self):
-    # A team's next request may come to any router.
+    # A team may send its next request to any router.
     found = _target(rate=0.0, others_rate=50_000.0, holders=4)
     self.assertEqual(25_000, found)
 
   def test_parts_and_reservations_count_as_held(self):
-    # The owner handed most of its grant on and the rest is reserved; all
-    # of that is written off with it, so it asks for no more.
+    # The owner delegated most of its grant and the rest is reserved. All of it
+    # would be written off if the owner died, so it asks for no more.
     table = allotment.Table("r:e", _CONFIG)
     table.add("b", "r:e:1", 200_000, 0.0)
     table.delegate("b", "s:e:1", 1, 150_000, 1.0)
@@ -93,9 +93,10 @@
 class ReportPaceTest(testtools.TestCase):
 
   def test_writes_for_reports_do_not_grow_with_the_fleet(self):
-    # On 78 routers each reported twice a second, as on 9: 557 transactions a
-    # second on the same 24 ledgers, most of which met another's and were made
-    # again. The store of a small fleet takes 400 writes a second for all.
+    # With 78 routers, each reporting twice a second as in a fleet of 9, there
+    # were 557 transactions per second on the same 24 ledgers, and most of them
+    # conflicted and were retried. The store of a small fleet takes 400 writes
+    # per second in total.
     config = settings.Allotment(report_s=0.5)
     for routers in (9, 12, 78, 760):
       writes = routers / holding.report_interval_s(config, routers)
--- a/tests/test_known.py
+++ b/tests/test_known.py
@@ -1,7 +1,7 @@
-"""What a router knows of budgets that are nearly used up.
+"""Tests of what a router knows of budgets that are nearly used up.
 
-What the caller sees: 402, with no time to come back, when nothing that may
-come back could cover the request; 429 with a time otherwise.
+Callers get 402, without a time to retry, if nothing that may be returned could
+cover the request, and 429 with a time otherwise.
 """
 
 import datetime
@@ -48,8 +48,9 @@
     return self.budget_view.is_exhausted("b", tokens)
 
   def test_believed_longer_each_time_it_is_found_so(self):
-    # A used-up budget asked for 20 times a second by each of 8 routers cost
-    # a look at the ledger each half second and router, found for nothing.
+    # Guards against repeated useless reads: an exhausted budget requested 20
+    # times a second at each of 8 routers cost one read of its ledger per half
+    # second and router.
     for believed_s in (0.5, 1.0, 2.0, 4.0, 4.0):
       self.budget_view.note_exhausted("b", 50)
       self._pass(believed_s - 0.01)
@@ -93,7 +94,8 @@
     return {**found, **more}
 
   def test_counts_all_that_may_come_back(self):
-    # Others' grants, and what a dead router promised not to have drawn.
+    # Other routers' grants, and a dead router's written-off grant that has a
+    # ceiling and is not reviewed yet.
     ceiling = ceilings.encode(
         ceilings.Ceiling(10, 2.0, 1.0, clock_lib.Moment(0.0, 0.0))
     )
@@ -119,12 +121,12 @@
 
 
 class AskedFirstTest(testtools.TestCase):
-  """Whom a router asks for tokens before it goes to the store itself.
+  """Tests which routers are asked for tokens before the store.
 
-  On 78 hosts the store turned 27 away for nine seconds. What callers saw:
-  late answers, then a day given up as too slow. The budgets of owners among
-  the 27 were drawn on by each router on the store itself, and they met on the
-  same records: 313 transactions a second, 70 before.
+  On 78 hosts, the store rejected the calls of 27 for nine seconds. Answers were
+  late and the day was aborted as too slow. All routers drew directly on the
+  store for the budgets owned by those 27 and conflicted on the same records:
+  313 transactions per second instead of 70.
   """
 
   def _known(self, routers: int) -> budget_view.BudgetView:
@@ -147,7 +149,7 @@
     )
 
   def _not_mine(self, found: budget_view.BudgetView) -> str:
-    """Returns a budget for which this router is neither owner nor deputy."""
+    """Returns a budget of which this router is neither owner nor deputy."""
     me = self.view.me
     names = (f"b{i}" for i in range(1000))
     return next(n for n in names if me not in self.view.candidates(n))
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -1,4 +1,4 @@
-"""The budget ledger's compare-and-swap writes under lost replies."""
+"""Tests of the ledger's compare-and-swap writes when replies are lost."""
 
 import anyio
 import testtools
@@ -33,8 +33,8 @@
 class ShrinkTest(testtools.TestCase):
 
   def test_rest_of_a_retired_grant_comes_back_while_it_is_drawn_on(self):
-    # A stream goes on for long on a grant that is due. Without this nobody
-    # could draw on its rest until the stream's end.
+    # A long stream keeps a retired grant open. Without this nobody could use
+    # the grant's remainder until the stream ends.
     shrink = ledger.Shrink("r1:x:1", 400, 350)
     after = _after(_GRANT, shrink, shrink)
     self.assertEqual({"r1:x:1": 50}, after["grants"])
@@ -58,8 +58,9 @@
 class UnknownGrantTest(testtools.TestCase):
 
   def test_part_of_a_stopped_owner_is_settled_by_one_who_never_knew_it(self):
-    # The owner's answer was lost and it stopped: the router that asked knows
-    # its part, but not of which grant. The part must not stay out for ever.
+    # The owner's reply was lost and the owner stopped: the router that asked
+    # knows its part but not the grant. The part must not stay outstanding
+    # forever.
     part = ledger.SettlePart("", "r2:y:1", 100, 0)
     after = _after(
         _GRANT, ledger.Release("r1:x:1", 40, {"r2:y:1": 100}), part, part
@@ -90,9 +91,9 @@
     self.assertEqual(850, ledger.headroom(after))
 
   def test_settle_with_lost_reply_bills_once(self):
-    # The operator sees a budget billed once: the settle's reply is lost
-    # after the write took effect, the router re-reads, finds its grant
-    # gone, and does not write again.
+    # The reply to a settlement is lost after the write took effect. The router
+    # reads the ledger again, finds its grant gone and does not write again, so
+    # the budget is billed once.
     async def go():
       kv, server = kvfake.make()
       await _write(kv, ledger.Create(1000), ledger.Grant("r1:1", 10, 400, 1.0))
@@ -105,8 +106,8 @@
     self.assertEqual(100, after["spent"])
 
   def test_top_up_with_lost_reply_applies_once(self):
-    # An operator's top-up reply is lost after it took effect; the retry
-    # carries the same op id and finds it applied, so the limit rises once.
+    # The reply to a top-up is lost after it took effect. The retry carries the
+    # same op id and is recognised, so the limit rises once.
     async def go():
       kv, server = kvfake.make()
       await _write(kv, ledger.Create(1000))
@@ -130,8 +131,8 @@
     self.assertEqual({"r1:1": 250}, b)
 
   def test_overspend_weighing_customer_keeps_margin(self):
-    # Mahakama's last hundredth is never granted, so an engine that runs
-    # past its reservation still stays within the limit.
+    # The last hundredth of the limit is never granted, so that an engine that
+    # exceeds its reservation still stays within the limit.
     async def go():
       kv, _ = kvfake.make()
       await _write(kv, ledger.Create(1000))
@@ -141,9 +142,9 @@
     self.assertEqual(10, ledger.headroom(_run(go)))
 
   def test_written_off_grant_is_billed_right_when_its_holder_wakes(self):
-    # A paused router's grant is written off, so its tokens stay counted.
-    # It wakes, finishes its requests and settles: the true count is
-    # billed and the rest returns; settling again changes nothing.
+    # A paused router's grant is written off and its tokens stay counted. When
+    # it resumes, finishes its requests and settles, its actual usage is billed
+    # and the rest returns; settling again changes nothing.
     gone = (_GRANT, ledger.WriteOff("r1:x:1"))
     paused = _after(*gone)
     after = _after(*gone, *[ledger.Settle("r1:x:1", 150)] * 2)
@@ -151,10 +152,10 @@
     self.assertEqual((150, 0), (after["spent"], ledger.lost(after)))
 
   def test_part_settled_in_both_places_is_billed_once(self):
-    # Router 2 holds a part of router 1's grant. Router 1 is paused and
-    # taken for gone just after it heard that the part used 30; the reply
-    # is lost, so router 2 settles in the ledger as well. Router 1 wakes
-    # and settles all it knows: those 30 tokens are billed once.
+    # Router 2 holds a part of router 1's grant. Router 1 learns that the part
+    # used 30 tokens, is then paused and considered gone, and its reply is lost,
+    # so router 2 also settles in the ledger. When router 1 resumes and settles,
+    # those 30 tokens must be billed once.
     after = _after(
         _GRANT, _PART, _PART, ledger.Settle("r1:x:1", 50, {"r2:y:1": 30})
     )
@@ -163,16 +164,16 @@
     self.assertEqual({}, after["parts"])
 
   def test_rest_of_a_part_is_not_given_back_twice(self):
-    # Router 1 heard that the part ended and spends its rest, but its
-    # reply was lost: router 2 takes it for gone and settles here. Given
-    # back here too, those 70 tokens would be spent by two.
+    # Router 1 learned that the part ended and spends its remainder, but its
+    # reply was lost, so router 2 considers it gone and settles in the ledger.
+    # If those 70 tokens were returned there too, they would be spent twice.
     after = _after(_GRANT, _PART)
     self.assertEqual((30, 370), (after["spent"], after["grants"]["r1:x:1"]))
     self.assertEqual(600, ledger.headroom(after))
 
   def test_stopping_holder_leaves_parts_to_their_holders(self):
-    # Router 1 stops while router 2 still holds 100 of its 400 tokens:
-    # 300 come back at once, the part is settled by router 2 later.
+    # Router 1 stops while router 2 still holds 100 of its 400 tokens: 300 are
+    # returned at once, and router 2 settles the part later.
     stopped = _after(_GRANT, ledger.Release("r1:x:1", 50, {"r2:y:1": 100}))
     after = _after(
         _GRANT, ledger.Release("r1:x:1", 50, {"r2:y:1": 100}), _PART, _PART
@@ -182,16 +183,16 @@
     self.assertEqual({}, after["grants"])
 
   def test_end_of_a_holder_repeated_late_is_billed_once(self):
-    # The reply to a stopping router's last write is lost in a long
-    # outage; many top-ups later it tries again. Its 50 are billed once.
+    # The reply to a stopping router's last write is lost in a long outage, and
+    # it retries after many top-ups. Its 50 tokens are billed once.
     end = ledger.Release("r1:x:1", 50, {"r2:y:1": 100})
     top_ups = [ledger.TopUp(1, f"op-{i}") for i in range(100)]
     after = _after(_GRANT, end, *top_ups, end)
     self.assertEqual(50, after["spent"])
 
   def test_part_settled_before_its_holder_stops_leaves_no_grant(self):
-    # Two routers stop at once: the part reaches the ledger before the
-    # holder's own end does. No empty grant may stay behind.
+    # Two routers stop at once, and the part is settled in the ledger before its
+    # holder releases the grant. No empty grant may remain.
     after = _after(_GRANT, _PART, ledger.Release("r1:x:1", 50, {"r2:y:1": 100}))
     self.assertEqual((80, {}), (after["spent"], after["grants"]))
 
@@ -213,9 +214,8 @@
     self.assertLessEqual(writes, 2)
 
   def test_refusal_from_memory_is_checked_against_the_kv(self):
-    # The writer remembers a used-up budget; an operator tops it up. The
-    # next grant must be given: refusing it on memory would be a false
-    # refusal of a paid-up customer.
+    # The writer caches an exhausted budget and an operator tops it up. The next
+    # grant must succeed: a refusal from the cache would be a false one.
     async def go():
       kv, server = kvfake.make()
       operator, _ = kvfake.share(server, "op")
@@ -230,8 +230,8 @@
     self.assertIn("r:x:2", _run(go)["grants"])
 
   def test_posted_change_lands_after_an_outage(self):
-    # The KV is down when an allotment ends. Its settlement is kept and
-    # written once when the KV answers again; the budget is billed once.
+    # The KV is down when an allotment ends. The settlement is kept and written
+    # when the KV answers again; the budget is billed once.
     async def go():
       kv, server = kvfake.make()
       async with kvfake.writing(kv) as writer:
--- a/tests/test_ledger_limits.py
+++ b/tests/test_ledger_limits.py
@@ -1,4 +1,4 @@
-"""Limits from a configuration, grants that grow, and reports of use."""
+"""Tests of configured limits, grants that grow, and usage reports."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -15,8 +15,8 @@
 class LimitTest(testtools.TestCase):
 
   def test_older_limit_does_not_come_back(self):
-    # A router that was cut off asks for tokens under the old, higher limit
-    # after another has asked under the reduced one. It must get none.
+    # A router that was unreachable asks for tokens with the old, higher limit
+    # after another router has asked with the reduced one. It must get none.
     after = change.apply(_grant("a:1:1", 10, ledger.Limit(10, 7)), None)
     refused = change.apply(_grant("b:1:1", 50, ledger.Limit(100, 3)), after)
     self.assertIsNone(refused)
@@ -36,8 +36,8 @@
 class GrowthTest(testtools.TestCase):
 
   def test_growth_whose_answer_was_lost_is_not_taken_twice(self):
-    # A holder's grant grows and the answer is lost. It asks again, still
-    # knowing the old size; the ledger has it already and must not add more.
+    # A holder's grant grows and the reply is lost. It asks again with the old
+    # size; the ledger has applied the growth and must not add more.
     limit = ledger.Limit(100, 1)
     after = change.apply(_grant("a:1:1", 10, limit), None)
     grown = change.apply(_grant("a:1:1", 20, limit, base=10), after)
@@ -76,9 +76,9 @@
   def test_reports_never_change_what_is_billed_in_the_end(
       self, steps, written_off, stopped, part
   ):
-    # Whatever is reported on the way, and whether the grant is written off
-    # meanwhile or its holder stops with a part out, the bill at the end is
-    # what was used, and reports alone never free or take a token.
+    # Whatever is reported in between, and whether the grant is written off or
+    # its holder stops with a part outstanding, the final bill equals the usage.
+    # Reports alone never free or take a token.
     after = change.apply(_grant("a:1:1", 200, ledger.Limit(300, 1)), None)
     used = 0
     for step in steps:
@@ -102,8 +102,8 @@
     self.assertEqual({}, after.get("billed", {}))
 
   def test_part_reported_and_settled_here_is_billed_once_in_the_end(self):
-    # The owner reports a part that ended with it; its holder, which did not
-    # hear so, settles it in the ledger as well.
+    # The owner reports a part that was settled with it; the part's holder did
+    # not receive the reply and settles it in the ledger as well.
     after = change.apply(_grant("a:1:1", 40, ledger.Limit(100, 1)), None)
     after = change.apply(ledger.ReportUse("a:1:1", 5, {"b:1:1": 7}), after)
     before = ledger.headroom(after)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,9 +1,9 @@
-"""After all routers have died, what a budget still covers is served.
+"""Tests that a budget is still usable after all routers have died.
 
-What the caller sees: requests refused for want of tokens that nobody used.
-Pattern: the users' worst days, on which all routers are killed or lose power
-two and three times, each time while they hold what bridges an outage of the
-store. Written off whole, three deaths took all of a budget.
+Guards against refusals for lack of tokens that nobody used. On bad days all
+routers are killed or lose power two or three times, each time while they hold
+enough tokens to cover an outage of the store. When these were written off
+whole, three deaths consumed an entire budget.
 """
 
 import testtools
@@ -22,7 +22,7 @@
     self.addCleanup(self.machine.portal_cm.__exit__, None, None, None)
 
   def _serve(self, router, tokens):
-    """Returns whether a request of `tokens` was served, using all of them."""
+    """Returns whether a request of `tokens` was served; it uses all of them."""
     before = len(self.machine.open)
     self.machine.reserve(router, tokens)
     if len(self.machine.open) == before:
@@ -42,7 +42,7 @@
     for _ in range(3):
       for router in _ROUTERS:
         served += 10 * self._serve(router, 10)
-      # Now the ledger is known: the next grant bridges an outage.
+      # The ledger has now been read: the next grant covers an outage.
       served += 30 * self._serve("r1", 30)
       self.machine.tick(2.0)
       self._die_and_start(power=False)
@@ -51,8 +51,8 @@
     self.assertTrue(served >= 0.75 * _LIMIT, served)
 
   def test_power_lost_by_all_costs_what_the_clocks_cannot_tell(self):
-    # No clock is compared here: the wall clock is trusted to 5 s, in which
-    # the dead may have drawn more than they had promised at first.
+    # No clocks are compared here: the wall clock is trusted to 5 s, in which
+    # the dead routers may have drawn more than their ceilings without growth.
     served = 0
     for router in _ROUTERS:
       served += 10 * self._serve(router, 10)
--- a/tests/test_renewals.py
+++ b/tests/test_renewals.py
@@ -1,8 +1,8 @@
-"""A renewal says at one moment that all of a router's promises still hold.
+"""Tests of renewals, which confirm all of a router's ceilings at once.
 
-What the caller sees: after all routers have died, requests that the budget
-covers are served again. A router that was well but had nothing to report
-would seem to have drawn more and more; without renewals all of that is lost.
+Guards against refusals after all routers have died. A live router with nothing
+to report would appear to have drawn more and more, and without renewals all of
+that would be lost.
 """
 
 import datetime
@@ -28,7 +28,7 @@
 
 
 class _Writer:
-  """Keeps what was posted."""
+  """A writer that records posted changes."""
 
   def __init__(self):
     self.posted = []
@@ -62,8 +62,9 @@
     self.assertEqual(["a:3", "a:4", "a:5", "a:6"], list(value["lives"]))
 
   def test_dead_router_is_judged_from_its_last_renewal(self):
-    # Promised at 50 s, renewed at 58 s, back at 59 s: flat for two seconds,
-    # so 80 are lost; by the promise alone it would be 80 + 7 * 30.
+    # Ceiling issued at 50 s, renewed at 58 s, router restarted at 59 s: there
+    # is no growth for two seconds, so 80 are lost. Without the renewal 80 + 7 *
+    # 30 would be.
     ceiling = ceilings.Ceiling(180, 2.0, 30.0, _at(50.0))
     found = change.apply(
         ledger.Grant("a:1:1", 1, 600, 1.0, 0.0, _LIMIT, 0, ceiling), None
@@ -94,7 +95,7 @@
     )
 
   def _renew(self) -> int:
-    """Returns how many renewals were sent so far."""
+    """Returns how many renewals were posted so far."""
     self.renewer.renew()
     return len(self.writer.posted)
 
@@ -119,8 +120,8 @@
     self.assertEqual(2, self._renew())
 
   def test_overdrawn_promise_is_not_renewed(self):
-    # Out of touch it drew more than it had promised at first. Renewed, the
-    # promise would say that it had not.
+    # While unreachable the holder drew more than its ceiling allowed without
+    # growth. A renewal would state the contrary.
     self.clock.advance(datetime.timedelta(seconds=4))
     self.table.update_ceiling("b", self.clock.monotonic())
     self.assertIsNotNone(self.table.reserve("b", 150))
@@ -131,7 +132,7 @@
     self.assertEqual(0, self._renew())
 
   def _read_earlier(self):
-    """Returns the earlier lives' renewals, and the seconds that took."""
+    """Returns the earlier lives' renewals and how many seconds that took."""
 
     async def _day():
       began = anyio.current_time()
@@ -147,7 +148,7 @@
     return result[0]
 
   def test_router_that_promised_nothing_reads_earlier_renewals(self):
-    """Guards against tokens of the dead that wait for a read nobody makes."""
+    """Guards against dead routers' tokens that wait for a read nobody makes."""
     self.writer.value = change.apply(renewals.Renew("a:0", _at(5.0)), None)
     found, took_s = self._read_earlier()
     self.assertEqual({"a:0": _at(5.0)}, found)
--- a/tests/test_reserving.py
+++ b/tests/test_reserving.py
@@ -1,4 +1,4 @@
-"""Tokens that come for a caller that has just left."""
+"""Tests that tokens granted to a caller that has just left are returned."""
 
 import anyio
 import testtools
@@ -8,7 +8,7 @@
 
 
 class _Pool:
-  """Hands out one reservation, when told to."""
+  """Returns one reservation once `go` is set."""
 
   def __init__(self):
     self.go = anyio.Event()
@@ -26,7 +26,7 @@
 class LeavingTest(testtools.TestCase):
 
   def _run(self, caller):
-    """Runs `caller(reserver, pool, scope)`; returns what was returned."""
+    """Runs `caller(reserver, pool, scope)`; returns the returned reservations."""
 
     async def go():
       pool = _Pool()
@@ -40,9 +40,9 @@
     return anyio.run(go)
 
   def test_caller_that_leaves_as_its_tokens_come_gives_them_back(self):
-    # The reservation is made and the caller leaves in the same moment,
-    # before the request has it. Nobody would ever settle it: the tokens
-    # would be set aside until the router ends.
+    # The caller is cancelled at the moment its reservation is made, before the
+    # request has it. Without the fix nobody would settle it, and the tokens
+    # would stay reserved until the router ends.
     async def caller(reserver, pool, scope):
       async with anyio.create_task_group() as tg:
         tg.start_soon(reserver.reserve, "b", 7)
