--- a/mustardfall/accounts.py
+++ b/mustardfall/accounts.py
@@ -124,14 +124,14 @@
     """
     if budget not in self._balances:
       try:
-        found = await ledger.read(self._kv, budget)
+        state = await ledger.read(self._kv, budget)
       except (errors.KvUnavailableError, errors.KvUnknownError) as exc:
         logger.info(
             "ledger not read", extra={"budget": budget, "error": str(exc)}
         )
         return None
-      if found is not None:
-        self._on_value(ledger.key(budget), found)
+      if state is not None:
+        self._on_value(ledger.key(budget), state)
     return self.balance(budget)
 
   def loops(self) -> tuple[Callable[[], Awaitable[None]], ...]:
--- a/mustardfall/budget/acquiring.py
+++ b/mustardfall/budget/acquiring.py
@@ -131,11 +131,11 @@
       self, budget: str, tokens: int, customer: str
   ) -> allotment.Reservation | None:
     """Reserves `tokens` for a request; see `pool.Pool.reserve`."""
-    found = self._table.reserve(budget, tokens)
-    if found is None:
+    reservation = self._table.reserve(budget, tokens)
+    if reservation is None:
       return await self._wait_for_tokens(budget, tokens, customer)
     self.refill_if_low(budget, customer)
-    return found
+    return reservation
 
   def refill_if_low(self, budget: str, customer: str) -> None:
     """Schedules a refill if the budget will soon run short on this router."""
@@ -175,9 +175,9 @@
       while True:
         if not self._is_refused(budget, tokens):
           await self._fetch_tokens(budget, tokens, customer)
-        found = self._table.reserve(budget, tokens)
-        if found is not None:
-          return found
+        reservation = self._table.reserve(budget, tokens)
+        if reservation is not None:
+          return reservation
         now = self._clock.monotonic()
         futile = self._refusals.duration_s(budget) > max_wait_s
         futile = futile or self._budget_view.is_exhausted(budget, tokens)
@@ -345,8 +345,8 @@
     # reserve would be idle once the owner answers again.
     demand = max(least, self._demand.get(budget, 0))
     want = self._table.grant_size(budget, demand) if as_owner else demand
-    found = await self._granter.grant(budget, least, want, margin, as_owner)
-    if found is None:
+    state = await self._granter.grant(budget, least, want, margin, as_owner)
+    if state is None:
       return
     pending.note_answer()
     if self._table.can_reserve(budget, least):
@@ -357,13 +357,13 @@
         self._unseen_ledgers.add(budget)
         self._schedule_refill(budget, customer)
       return
-    recalled = await self._recaller.recall(budget, found)
+    recalled = await self._recaller.recall(budget, state)
     if recalled and not self._table.can_reserve(budget, least):
       await self._granter.grant(budget, least, want, margin, as_owner)
     if not self._table.can_reserve(budget, least):
       self._refusals.add(budget, least, self._config.refusal_ttl_s)
-      left = self._budget_view.max_available(budget, margin)
-      if left is not None and left < least:
+      available = self._budget_view.max_available(budget, margin)
+      if available is not None and available < least:
         self._budget_view.note_exhausted(budget, least)
 
   async def _run_refill(self, budget: str, customer: str) -> None:
--- a/mustardfall/budget/allotment.py
+++ b/mustardfall/budget/allotment.py
@@ -259,9 +259,9 @@
     row = self.growable_row(budget)
     if row is None or row.ceiling >= row.granted:
       return False
-    last = row.issued_ceilings[-1]
-    slack = last.ceiling.tokens - row.drawn
-    return slack < last.slack * _LOW_SLACK_FRACTION
+    latest = row.issued_ceilings[-1]
+    slack = latest.ceiling.tokens - row.drawn
+    return slack < latest.slack * _LOW_SLACK_FRACTION
 
   @property
   def has_issued_ceilings(self) -> bool:
--- a/mustardfall/budget/budget_view.py
+++ b/mustardfall/budget/budget_view.py
@@ -93,27 +93,27 @@
     self._exhausted: dict[str, _Exhausted] = {}
     """Budgets that were found exhausted."""
 
-  def update(self, budget: str, found: ledger.Ledger) -> None:
+  def update(self, budget: str, state: ledger.Ledger) -> None:
     """Records a ledger that was read."""
-    self.ledgers[budget] = found
+    self.ledgers[budget] = state
     self._seen_at[budget] = self._clock.monotonic()
     self._targets.pop(budget, None)
 
   def snapshot(self, budget: str) -> BudgetSnapshot | None:
     """Returns a budget's token counts; None if its ledger was never read."""
-    found = self.ledgers.get(budget)
-    if found is None:
+    state = self.ledgers.get(budget)
+    if state is None:
       return None
     rows = [self._table.rows[g] for g in self._table.by_budget.get(budget, ())]
     own = {row.gid for row in rows}
-    grants = found["grants"].items()
+    grants = state["grants"].items()
     live = [row for row in rows if not row.retiring]
     return BudgetSnapshot(
-        limit=found["limit"],
-        spent=found["spent"],
-        free=ledger.headroom(found),
+        limit=state["limit"],
+        spent=state["spent"],
+        free=ledger.headroom(state),
         elsewhere=sum(tokens for gid, tokens in grants if gid not in own),
-        lost=ledger.lost(found),
+        lost=ledger.lost(state),
         seen_s=round(self._clock.monotonic() - self._seen_at[budget], 3),
         idle=sum(row.undrawn for row in live),
         drawable=sum(max(0, row.free) for row in live),
@@ -161,12 +161,12 @@
     Waiting does not help then: not even all reserved and held tokens would
     cover them if they returned unused.
     """
-    found = self._exhausted.get(budget)
-    if found is None or tokens < found.tokens:
+    entry = self._exhausted.get(budget)
+    if entry is None or tokens < entry.tokens:
       return False
-    if found.limit_version != self._limit_version(budget):
+    if entry.limit_version != self._limit_version(budget):
       return False
-    return self._clock.monotonic() < found.until
+    return self._clock.monotonic() < entry.until
 
   def _limit_version(self, budget: str) -> int:
     limit = self.limit_of(budget)
@@ -175,12 +175,12 @@
   def note_exhausted(self, budget: str, tokens: int) -> None:
     """Records that the budget cannot cover `tokens`, whatever is returned."""
     now = self._clock.monotonic()
-    before = self._exhausted.get(budget)
+    previous = self._exhausted.get(budget)
     duration_s = _INITIAL_EXHAUSTED_S
-    if before is not None and now < before.until + before.duration_s:
-      duration_s = min(_MAX_EXHAUSTED_S, 2 * before.duration_s)
-      if now < before.until:
-        tokens = min(tokens, before.tokens)
+    if previous is not None and now < previous.until + previous.duration_s:
+      duration_s = min(_MAX_EXHAUSTED_S, 2 * previous.duration_s)
+      if now < previous.until:
+        tokens = min(tokens, previous.tokens)
     version = self._limit_version(budget)
     self._exhausted[budget] = _Exhausted(
         tokens, now + duration_s, duration_s, version
@@ -188,32 +188,32 @@
 
   def max_available(self, budget: str, margin: float) -> int | None:
     """Returns the most tokens that the budget can still provide, if known."""
-    found = self.ledgers.get(budget)
-    if found is None:
+    state = self.ledgers.get(budget)
+    if state is None:
       return None
-    left = ledger.headroom(found) - int(found["limit"] * margin)
+    available = ledger.headroom(state) - int(state["limit"] * margin)
     limit = self.limit_of(budget)
-    if limit is not None and limit.version > found.get("limit_version", 0):
-      left += limit.tokens - found["limit"]
-    for gid, tokens in found["grants"].items():
+    if limit is not None and limit.version > state.get("limit_version", 0):
+      available += limit.tokens - state["limit"]
+    for gid, tokens in state["grants"].items():
       row = self._table.rows.get(gid)
-      left += tokens if row is None else max(row.unconsumed, 0)
-    for gid, tokens in found["lost"].items():
-      if ledger.ceiling(found, gid) is not None:
-        left += tokens  # not reviewed yet
-    return left
+      available += tokens if row is None else max(row.unconsumed, 0)
+    for gid, tokens in state["lost"].items():
+      if ledger.ceiling(state, gid) is not None:
+        available += tokens  # not reviewed yet
+    return available
 
   def sizing_input(
       self, budget: str, limit: ledger.Limit
   ) -> holding.SizingInput:
     """Returns the figures for sizing this router's share of a budget."""
-    found = self.ledgers.get(budget)
+    state = self.ledgers.get(budget)
     return holding.SizingInput(
         limit=limit.tokens,
-        free=None if found is None else max(0, ledger.headroom(found)),
+        free=None if state is None else max(0, ledger.headroom(state)),
         held=self._table.at_risk(budget),
         rate=self._table.rate.get(budget, 0.0),
-        others_rate=0.0 if found is None else self._others_rate(found),
+        others_rate=0.0 if state is None else self._others_rate(state),
         mean_request=self._table.mean_request.get(
             budget, self._config.request_tokens
         ),
@@ -228,11 +228,11 @@
     limit = self.limit_of(budget)
     if limit is None:
       return None
-    found = self._targets.get(budget)
-    if found is None:
-      found = holding.target(self.sizing_input(budget, limit), self._config)
-      self._targets[budget] = found
-    return found
+    size = self._targets.get(budget)
+    if size is None:
+      size = holding.target(self.sizing_input(budget, limit), self._config)
+      self._targets[budget] = size
+    return size
 
   def tick(self) -> None:
     """Discards the computed targets, as draw rates have changed."""
@@ -244,15 +244,15 @@
       return self._members.regions
     return len(self._members.lives)
 
-  def _others_rate(self, found: ledger.Ledger) -> float:
+  def _others_rate(self, state: ledger.Ledger) -> float:
     """Returns the rate at which other live routers draw, from their ceilings.
 
     If a router holds several grants, its latest ceiling counts: it is based on
     the router's whole draw of the budget.
     """
     rates: dict[str, ceilings.Ceiling] = {}
-    for gid in found.get("ceilings", {}):
-      life, last_ceiling = ledger.holder(gid), ledger.ceiling(found, gid)
+    for gid in state.get("ceilings", {}):
+      life, last_ceiling = ledger.holder(gid), ledger.ceiling(state, gid)
       newest = rates.get(life)
       if newest is None or last_ceiling.issued > newest.issued:
         rates[life] = last_ceiling
@@ -265,8 +265,8 @@
 
   def prune(self, before: float) -> None:
     """Drops the state of budgets that have been idle since `before`."""
-    for budget, found in list(self._exhausted.items()):
-      if found.until < before:
+    for budget, entry in list(self._exhausted.items()):
+      if entry.until < before:
         del self._exhausted[budget]
     used = self._table.rate.keys() | self._table.by_budget.keys()
     for budget in self.ledgers.keys() - used:
--- a/mustardfall/budget/pool.py
+++ b/mustardfall/budget/pool.py
@@ -176,22 +176,22 @@
     """Settles ended parts with their owners; see `settling`."""
     await self._settler.settle_parts()
 
-  def update_from_ledger(self, budget: str, found: ledger.Ledger) -> None:
+  def update_from_ledger(self, budget: str, state: ledger.Ledger) -> None:
     """Updates this router's state from a ledger that was read."""
     now = self._clock.monotonic()
-    self.budget_view.update(budget, found)
+    self.budget_view.update(budget, state)
     for gid in self.table.by_budget.get(budget, ()):
-      self.table.grow(gid, ledger.granted(found, gid), now)
-      ceiling = ledger.ceiling(found, gid)
+      self.table.grow(gid, ledger.granted(state, gid), now)
+      ceiling = ledger.ceiling(state, gid)
       if ceiling is not None:
         self.table.confirm_ceiling(gid, ceiling, now)
         self._settler.confirm_ceiling(gid, ceiling)
-      if gid in found["lost"]:
+      if gid in state["lost"]:
         # This router was unreachable and considered dead. A written-off grant
         # cannot grow: if its row stayed in use, every refill would be refused.
         self.table.rows[gid].retiring = True
-    self._settler.settle_strays(budget, found, self._granter.pending_gids)
-    self.reviewer.schedule(budget, found)
+    self._settler.settle_strays(budget, state, self._granter.pending_gids)
+    self.reviewer.schedule(budget, state)
 
   def retire(self, budget: str) -> None:
     """Returns the budget's idle tokens soon, the others as requests end."""
--- a/mustardfall/budget/recalling.py
+++ b/mustardfall/budget/recalling.py
@@ -49,7 +49,7 @@
     self._counts = counts
     self._recalled_at: dict[str, float] = {}
 
-  async def recall(self, budget: str, found: ledger.Ledger) -> bool:
+  async def recall(self, budget: str, state: ledger.Ledger) -> bool:
     """Recalls idle tokens; returns whether any router was asked.
 
     A request refused while others hold idle tokens is a false refusal. A budget
@@ -61,8 +61,8 @@
     if now - last < self._config.recall_s:
       return False
     self._recalled_at[budget] = now
-    holders = self._holders(budget, found)
-    reviews = self._reviewer.find_reviews(budget, found)
+    holders = self._holders(budget, state)
+    reviews = self._reviewer.find_reviews(budget, state)
     self._counts["recalls"] += len(holders)
     async with anyio.create_task_group() as tg:
       for holder in holders:
@@ -72,14 +72,14 @@
     return bool(holders or reviews)
 
   def _holders(
-      self, budget: str, found: ledger.Ledger
+      self, budget: str, state: ledger.Ledger
   ) -> list[members_lib.Member]:
     """Returns the other live routers that hold tokens of a budget."""
-    lives = {ledger.holder(gid) for gid in found["grants"]}
+    lives = {ledger.holder(gid) for gid in state["grants"]}
     lives |= self._table.holders(budget)
     lives.discard(self._members.me.life)
-    up = self._members.lives
-    return [up[life] for life in lives if life in up]
+    live = self._members.lives
+    return [live[life] for life in lives if life in live]
 
   async def serve(self, budget: str) -> None:
     """Returns idle tokens of `budget` before answering."""
--- a/mustardfall/budget/renewals.py
+++ b/mustardfall/budget/renewals.py
@@ -128,13 +128,13 @@
     """Reads the key: this life may never write a renewal of its own."""
     while not self._loaded.is_set():
       try:
-        found = await self._writer.submit(self.key, Read())
+        value = await self._writer.submit(self.key, Read())
       except (errors.KvUnavailableError, errors.KvUnknownError) as exc:
         logger.debug("renewals not read: %s", exc)
         await anyio.sleep(_READ_RETRY_S)
         continue
-      if found is not None:
-        self.update(found)
+      if value is not None:
+        self.update(value)
       self._loaded.set()
 
   def renew(self) -> None:
--- a/mustardfall/budget/reviewing.py
+++ b/mustardfall/budget/reviewing.py
@@ -76,12 +76,12 @@
     return moment if check is None else check.vouch(moment)
 
   def find_reviews(
-      self, budget: str, found: ledger.Ledger
+      self, budget: str, state: ledger.Ledger
   ) -> set[tuple[str, str]]:
     """Returns the routers that can review dead routers' grants of a budget."""
     reviews = set()
     now = self._clock.monotonic()
-    for gid in found.get("ceilings", {}):
+    for gid in state.get("ceilings", {}):
       member = self._members.successor(ledger.holder(gid))
       asked_at = self._asked_at.get(gid, -float("inf"))
       if member is not None and now - asked_at >= _REVIEW_RETRY_S:
@@ -89,9 +89,9 @@
         reviews.add((member.life, budget))
     return reviews
 
-  def schedule(self, budget: str, found: ledger.Ledger) -> None:
+  def schedule(self, budget: str, state: ledger.Ledger) -> None:
     """Schedules reviews of the dead routers' grants that a ledger shows."""
-    reviews = self.find_reviews(budget, found)
+    reviews = self.find_reviews(budget, state)
     if reviews:
       self._pending_reviews |= reviews
       self._wake.set()
--- a/mustardfall/budget/settling.py
+++ b/mustardfall/budget/settling.py
@@ -183,19 +183,21 @@
   def settle_delegated(self, ended: peers_lib.Ended) -> None:
     """Settles a part that another router has finished with."""
     part, used = ended
-    left = self._table.outstanding_parts.pop(part, None)
-    if left is not None:
+    outstanding = self._table.outstanding_parts.pop(part, None)
+    if outstanding is not None:
       # The part was outstanding when this router stopped; the ledger still
       # counts it.
-      change = ledger.SettlePart(left.gid, part, left.tokens, used)
-      self._writer.post(ledger.key(left.budget), change)
+      change = ledger.SettlePart(
+          outstanding.gid, part, outstanding.tokens, used
+      )
+      self._writer.post(ledger.key(outstanding.budget), change)
       return
     budget = self._table.settle_delegated(part, used)
     if budget is not None:
       self._writer.post(ledger.key(budget), ledger.Settle(part, used))
 
   def settle_strays(
-      self, budget: str, found: ledger.Ledger, pending_gids: set[str]
+      self, budget: str, state: ledger.Ledger, pending_gids: set[str]
   ) -> None:
     """Ends grants in a ledger that no router draws on any more.
 
@@ -205,26 +207,26 @@
     can review it.
     """
     in_progress = self._settling_gids.get(budget, set())
-    in_progress &= found["grants"].keys()
+    in_progress &= state["grants"].keys()
     if not in_progress:
       self._settling_gids.pop(budget, None)
-    for gid in found["grants"]:
+    for gid in state["grants"]:
       life = ledger.holder(gid)
       if life == self._members.me.life:
-        known = gid in self._table.rows or gid in pending_gids
-        if not known and gid not in in_progress:
+        has_row = gid in self._table.rows or gid in pending_gids
+        if not has_row and gid not in in_progress:
           self.counts["stray_grants"] += 1
           self.settle_row(allotment.Row(budget, gid, 0, 0.0))
       elif self._members.has_gone(life) and not self._will_be_reviewed(
-          found, gid
+          state, gid
       ):
         self.counts["grants_written_off"] += 1
         self._writer.post(ledger.key(budget), ledger.WriteOff(gid))
 
-  def _will_be_reviewed(self, found: ledger.Ledger, gid: str) -> bool:
+  def _will_be_reviewed(self, state: ledger.Ledger, gid: str) -> bool:
     """Whether a later life of the grant's holder will review it."""
-    promised = ledger.ceiling(found, gid) is not None
-    return promised and bool(self._members.successor(ledger.holder(gid)))
+    has_ceiling = ledger.ceiling(state, gid) is not None
+    return has_ceiling and bool(self._members.successor(ledger.holder(gid)))
 
 
 def _shrink_change(row: allotment.Row) -> ledger.Shrink | None:
--- a/tests/test_allotment.py
+++ b/tests/test_allotment.py
@@ -14,7 +14,7 @@
 
 class PartTest(testtools.TestCase):
 
-  def test_repeated_ask_gets_the_same_part(self):
+  def test_repeated_request_gets_the_same_part(self):
     # The owner's reply was lost and the router asks again: it must get the same
     # part, not a second one.
     table = _table()
@@ -22,7 +22,7 @@
     self.assertEqual(first, table.delegate("b", "r2:e:1", 10, 40, 1.0))
     self.assertEqual(60, table.rows["r1:e:1"].free)
 
-  def test_late_ask_does_not_revive_an_ended_part(self):
+  def test_late_request_does_not_reopen_an_ended_part(self):
     # The router gave up and settled the part as unused, then its first request
     # arrives late. Tokens delegated now would never be returned.
     table = _table()
@@ -36,7 +36,7 @@
     table.settle_delegated("r2:e:1", 15)
     self.assertEqual(85, table.rows["r1:e:1"].free)
 
-  def test_parts_of_a_part_are_not_handed_on(self):
+  def test_parts_of_a_part_are_not_delegated(self):
     # Only KV grants may be delegated: the ledger could not settle a part of a
     # part whose owner is gone.
     table = allotment.Table("r1:e", settings.Allotment())
--- a/tests/test_ceilings.py
+++ b/tests/test_ceilings.py
@@ -38,21 +38,21 @@
 
 class ElapsedTest(testtools.TestCase):
 
-  def test_boot_clock_tells_after_a_kill(self):
+  def test_boot_clock_bounds_the_time_after_a_kill(self):
     elapsed_s = ceilings.max_elapsed_s(_at(100.0), _at(102.0))
     self.assertTrue(2.0 <= elapsed_s <= 2.5, elapsed_s)
 
-  def test_time_of_suspension_counts(self):
+  def test_suspended_time_counts(self):
     # Monotonic clocks stop while a host is suspended; the boot clock and the
     # wall clock do not.
     elapsed_s = ceilings.max_elapsed_s(_at(100.0), _at(108.0))
     self.assertTrue(elapsed_s >= 8.0, elapsed_s)
 
-  def test_after_power_loss_the_wall_clock_tells_with_its_error(self):
+  def test_wall_clock_and_its_error_bound_the_time_after_power_loss(self):
     elapsed_s = ceilings.max_elapsed_s(_at(100.0, 50.0), _at(0.4, 52.0))
     self.assertAlmostEqual(2.0 + ceilings._DEFAULT_WALL_ERROR_S, elapsed_s)
 
-  def test_boot_clock_may_start_anew_anywhere(self):
+  def test_boot_clock_may_restart_at_any_value(self):
     # The boot clock may start at any value, here 54,600 s. Interpreted as the
     # time since power-on, it yielded a negative time, so no bound was found and
     # all that the dead router held was lost.
@@ -67,13 +67,13 @@
     alone = issued._replace(error_s=None)
     self.assertAlmostEqual(7.0, ceilings.max_elapsed_s(alone, started))
 
-  def test_stepped_wall_clock_of_one_boot_is_not_believed(self):
+  def test_stepped_wall_clock_within_one_boot_is_not_trusted(self):
     # The boot clock measures 2 s and the wall clock -0.4 s: this cannot be
     # confirmed as one boot, so the wall clock counts with its error.
     elapsed_s = ceilings.max_elapsed_s(_at(100.0), _at(102.0, 99.6))
     self.assertTrue(elapsed_s >= 2.0, elapsed_s)
 
-  def test_clock_far_in_the_past_tells_nothing(self):
+  def test_clock_far_in_the_past_gives_no_bound(self):
     self.assertIsNone(ceilings.max_elapsed_s(_at(100.0), _at(0.4, 10.0)))
 
   @given(
@@ -95,7 +95,7 @@
   def _reclaim(self, found, at_s, life="a:2"):
     return change.apply(ledger.Reclaim(life, _at(at_s)), found)
 
-  def test_what_lies_above_the_ceiling_comes_back(self):
+  def test_tokens_above_the_ceiling_are_returned(self):
     # 600 granted, 100 reported as used, at most 180 in use for 2 s: a router
     # killed and restarted within 1.5 s loses 80 of its budget, not 500.
     ceiling = ceilings.Ceiling(180, 2.0, 30.0, _at(50.0))
@@ -103,7 +103,7 @@
     self.assertEqual((80, 820), (ledger.lost(after), ledger.headroom(after)))
     self.assertEqual({}, after["ceilings"])
 
-  def test_out_of_touch_it_may_have_drawn_more(self):
+  def test_ceiling_grows_without_reports(self):
     ceiling = ceilings.Ceiling(180, 2.0, 30.0, _at(50.0))
     after = self._reclaim(_granted(ceiling, used=100), 55.75)
     self.assertEqual(80 + 30 * 4, ledger.lost(after))
@@ -137,20 +137,20 @@
     self.assertEqual((125, 55), (after["spent"], ledger.lost(after)))
     self.assertEqual(820, ledger.headroom(after))
 
-  def test_late_report_does_not_bring_an_older_promise_back(self):
+  def test_late_report_does_not_restore_an_older_ceiling(self):
     newer = ceilings.Ceiling(300, 2.0, 30.0, _at(52.0))
     older = ceilings.Ceiling(180, 2.0, 30.0, _at(50.0))
     found = _granted(newer)
     after = change.apply(ledger.ReportUse("a:1:1", 40, {}, older), found)
     self.assertEqual(newer, ledger.ceiling(after, "a:1:1"))
 
-  def test_settled_grant_leaves_no_promise(self):
+  def test_settled_grant_leaves_no_ceiling(self):
     ceiling = ceilings.Ceiling(180, 2.0, 30.0, _at(50.0))
     after = change.apply(ledger.Settle("a:1:1", 30), _granted(ceiling))
     self.assertEqual({}, after["ceilings"])
 
 
-class PromiseTest(testtools.TestCase):
+class IssuedCeilingTest(testtools.TestCase):
 
   def setUp(self):
     super().setUp()
@@ -166,13 +166,13 @@
     self.table.add_ceiling("a:1:1", ceiling, at_s)
     return ceiling
 
-  def test_no_more_is_drawn_than_was_promised(self):
+  def test_no_more_is_drawn_than_the_ceiling_allows(self):
     self._issue(100, 0.0)
     self.assertIsNotNone(self.table.reserve("b", 100))
     self.assertIsNone(self.table.reserve("b", 1))
     self.assertEqual((0, ""), self.table.delegate("b", "c:1:1", 1, 10, 0.5))
 
-  def test_more_may_be_drawn_the_longer_the_store_is_away(self):
+  def test_ceiling_grows_while_the_store_is_unavailable(self):
     self._issue(100, 0.0)
     self.table.update_ceiling("b", 2.0)
     self.assertEqual(100, self.row.free)
@@ -181,7 +181,7 @@
     self.table.update_ceiling("b", 1e6)
     self.assertEqual(600, self.row.free)
 
-  def test_promise_of_unknown_fate_and_the_one_before_it_both_bind(self):
+  def test_unconfirmed_ceiling_and_its_predecessor_both_bind(self):
     # The reply to the second report was lost: the ledger may hold either
     # ceiling.
     first = self._issue(100, 0.0)
@@ -192,14 +192,14 @@
     self.table.confirm_ceiling("a:1:1", second, 1.2)
     self.assertEqual(300, self.row.free)
 
-  def test_promise_that_was_not_written_does_not_bind(self):
+  def test_ceiling_that_was_not_written_does_not_bind(self):
     self._issue(200, 0.0)
     lower = self._issue(50, 1.0)
     self.assertEqual(50, self.row.free)
     self.table.withdraw_ceiling("a:1:1", lower, 1.1)
     self.assertEqual(200, self.row.free)
 
-  def test_near_the_end_of_a_budget_little_is_at_risk(self):
+  def test_little_is_at_risk_when_a_budget_is_nearly_used_up(self):
     # 120 of 1,000 tokens are left and 50 a second are drawn. Two seconds of
     # draw would be 100 of these 120 tokens, all lost at the next death. A
     # fourth of what is left, times the fraction that is left, is 3.6.
@@ -207,13 +207,13 @@
     self.assertEqual(3, holding.slack(sizing, self.config))
     self.assertEqual(110, holding.slack(sizing._replace(free=980), self.config))
 
-  def test_holders_that_draw_alike_risk_their_parts_together(self):
+  def test_holders_with_equal_draw_risk_equal_shares(self):
     # Four holders draw equally on the remaining 400 tokens: each may risk a
     # fourth of 40.
     sizing = holding.SizingInput(1_000, 370, 30, 50.0, 150.0, 10.0, holders=4)
     self.assertEqual(10, holding.slack(sizing, self.config))
 
-  def test_renewed_before_it_runs_out(self):
+  def test_ceiling_is_raised_before_it_is_reached(self):
     self._issue(100, 0.0)
     self.table.reserve("b", 50)
     self.assertFalse(self.table.nears_ceiling("b"))
--- a/tests/test_drawing.py
+++ b/tests/test_drawing.py
@@ -13,7 +13,7 @@
     self.machine = test_pool_states.ConfiguredPoolMachine()
     self.addCleanup(self.machine.portal_cm.__exit__, None, None, None)
 
-  def test_grant_that_a_failed_run_left_behind_is_taken_again(self):
+  def test_grant_left_by_a_failed_run_is_requested_again(self):
     # Guards against 429 from one router for one budget, forever. The loop that
     # requests grants failed and cancelled a grant's task before its first step;
     # after its restart it considered the grant still in progress.
@@ -24,7 +24,7 @@
     self.assertEqual(2, len(self.machine.open))
     self.assertFalse(acquirer.busy)
 
-  def test_failed_grant_keeps_nobody_waiting(self):
+  def test_failed_grant_does_not_block_callers(self):
     # The store rejects this router's calls: its callers move on to a deputy at
     # once, and the deputy's grant serves them.
     self.machine.partition("r1")
--- a/tests/test_hold.py
+++ b/tests/test_hold.py
@@ -63,7 +63,7 @@
     found = _target(rate=60_000.0, others_rate=15_000.0, holders=4)
     self.assertEqual(280_000, found)
 
-  def test_quiet_holder_has_an_equal_part(self):
+  def test_idle_holder_has_an_equal_share(self):
     # A team may send its next request to any router.
     found = _target(rate=0.0, others_rate=50_000.0, holders=4)
     self.assertEqual(25_000, found)
--- a/tests/test_known.py
+++ b/tests/test_known.py
@@ -47,7 +47,7 @@
   def _is_exhausted(self, tokens: int = 50) -> bool:
     return self.budget_view.is_exhausted("b", tokens)
 
-  def test_believed_longer_each_time_it_is_found_so(self):
+  def test_exhaustion_lasts_longer_each_time_it_is_found_again(self):
     # Guards against repeated useless reads: an exhausted budget requested 20
     # times a second at each of 8 routers cost one read of its ledger per half
     # second and router.
@@ -63,12 +63,12 @@
     self.assertFalse(self._is_exhausted(49))
     self.assertTrue(self._is_exhausted(51))
 
-  def test_raised_limit_ends_it_at_once(self):
+  def test_raised_limit_ends_exhaustion_at_once(self):
     self.budget_view.note_exhausted("b", 50)
     self.limit = ledger.Limit(2_000, 2)
     self.assertFalse(self._is_exhausted())
 
-  def test_quiet_for_a_while_it_begins_anew(self):
+  def test_exhaustion_time_is_reset_after_an_idle_time(self):
     for _ in range(3):
       self.budget_view.note_exhausted("b", 50)
       self._pass(1.0)
@@ -78,7 +78,7 @@
     self.assertFalse(self._is_exhausted())
 
 
-class MostLeftTest(_KnownCase):
+class MaxAvailableTest(_KnownCase):
 
   def _found(self, **more) -> ledger.Ledger:
     found = ledger.Ledger(
@@ -93,7 +93,7 @@
     )
     return {**found, **more}
 
-  def test_counts_all_that_may_come_back(self):
+  def test_counts_all_tokens_that_may_be_returned(self):
     # Other routers' grants, and a dead router's written-off grant that has a
     # ceiling and is not reviewed yet.
     ceiling = ceilings.encode(
@@ -105,17 +105,17 @@
     self.budget_view.update("b", found)
     self.assertEqual(300 - 10, self.budget_view.max_available("b", 0.01))
 
-  def test_what_was_written_off_for_good_does_not_count(self):
+  def test_tokens_written_off_for_good_do_not_count(self):
     self.budget_view.update("b", self._found(lost={"d:1:1": 40}))
     self.assertEqual(260 - 10, self.budget_view.max_available("b", 0.01))
 
 
-class ComebackTest(testtools.TestCase):
+class RetryHintTest(testtools.TestCase):
 
-  def test_soon_while_the_store_answers(self):
+  def test_short_wait_while_the_store_answers(self):
     self.assertEqual(1.5, retry_hint.max_retry_s(False, 15.0))
 
-  def test_late_while_it_is_away_but_in_time_for_the_answer(self):
+  def test_long_wait_while_it_is_unavailable_but_in_time_for_the_answer(self):
     self.assertAlmostEqual(4.95, retry_hint.max_retry_s(True, 15.0))
     self.assertEqual(1.5, retry_hint.max_retry_s(True, 1.0))
 
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -32,7 +32,7 @@
 
 class ShrinkTest(testtools.TestCase):
 
-  def test_rest_of_a_retired_grant_comes_back_while_it_is_drawn_on(self):
+  def test_rest_of_a_retired_grant_is_returned_while_in_use(self):
     # A long stream keeps a retired grant open. Without this nobody could use
     # the grant's remainder until the stream ends.
     shrink = ledger.Shrink("r1:x:1", 400, 350)
@@ -49,7 +49,7 @@
     self.assertEqual({"r1:x:1": 20}, after["grants"])
     self.assertEqual((30, 950), (after["spent"], ledger.headroom(after)))
 
-  def test_shrink_of_a_grant_that_has_grown_since_is_passed_over(self):
+  def test_shrink_of_a_grant_that_has_grown_since_is_ignored(self):
     grown = ledger.Grant("r1:x:1", 10, 100, 1.0, base=400)
     after = _after(_GRANT, grown, ledger.Shrink("r1:x:1", 400, 350))
     self.assertEqual({"r1:x:1": 500}, after["grants"])
@@ -57,7 +57,7 @@
 
 class UnknownGrantTest(testtools.TestCase):
 
-  def test_part_of_a_stopped_owner_is_settled_by_one_who_never_knew_it(self):
+  def test_part_of_a_stopped_owner_is_settled_without_its_grant_id(self):
     # The owner's reply was lost and the owner stopped: the router that asked
     # knows its part but not the grant. The part must not stay outstanding
     # forever.
@@ -68,7 +68,7 @@
     self.assertEqual({}, after["grants"])
     self.assertEqual((40, 960), (after["spent"], ledger.headroom(after)))
 
-  def test_part_that_no_stopped_owner_handed_on_changes_nothing(self):
+  def test_part_that_no_stopped_owner_delegated_changes_nothing(self):
     before = _after(_GRANT)
     part = ledger.SettlePart("", "r2:y:1", 100, 0)
     self.assertEqual(before, _after(_GRANT, part))
@@ -130,7 +130,7 @@
     self.assertEqual({"r1:1": 250}, a)
     self.assertEqual({"r1:1": 250}, b)
 
-  def test_overspend_weighing_customer_keeps_margin(self):
+  def test_margin_is_never_granted(self):
     # The last hundredth of the limit is never granted, so that an engine that
     # exceeds its reservation still stays within the limit.
     async def go():
@@ -141,7 +141,7 @@
 
     self.assertEqual(10, ledger.headroom(_run(go)))
 
-  def test_written_off_grant_is_billed_right_when_its_holder_wakes(self):
+  def test_written_off_grant_is_billed_right_when_its_holder_resumes(self):
     # A paused router's grant is written off and its tokens stay counted. When
     # it resumes, finishes its requests and settles, its actual usage is billed
     # and the rest returns; settling again changes nothing.
@@ -182,7 +182,7 @@
     self.assertEqual((80, 920), (after["spent"], ledger.headroom(after)))
     self.assertEqual({}, after["grants"])
 
-  def test_end_of_a_holder_repeated_late_is_billed_once(self):
+  def test_late_repeat_of_a_release_is_billed_once(self):
     # The reply to a stopping router's last write is lost in a long outage, and
     # it retries after many top-ups. Its 50 tokens are billed once.
     end = ledger.Release("r1:x:1", 50, {"r2:y:1": 100})
@@ -213,7 +213,7 @@
     self.assertEqual(40, keys)
     self.assertLessEqual(writes, 2)
 
-  def test_refusal_from_memory_is_checked_against_the_kv(self):
+  def test_cached_refusal_is_checked_against_the_kv(self):
     # The writer caches an exhausted budget and an operator tops it up. The next
     # grant must succeed: a refusal from the cache would be a false one.
     async def go():
--- a/tests/test_ledger_limits.py
+++ b/tests/test_ledger_limits.py
@@ -14,7 +14,7 @@
 
 class LimitTest(testtools.TestCase):
 
-  def test_older_limit_does_not_come_back(self):
+  def test_older_limit_is_not_restored(self):
     # A router that was unreachable asks for tokens with the old, higher limit
     # after another router has asked with the reduced one. It must get none.
     after = change.apply(_grant("a:1:1", 10, ledger.Limit(10, 7)), None)
@@ -27,7 +27,7 @@
     after = change.apply(_grant("b:1:1", 5, ledger.Limit(15, 2)), after)
     self.assertEqual((15, 0), (after["limit"], ledger.headroom(after)))
 
-  def test_reduced_below_what_is_out_leaves_no_headroom(self):
+  def test_limit_below_granted_tokens_leaves_no_headroom(self):
     after = change.apply(_grant("a:1:1", 10, ledger.Limit(20, 1)), None)
     refused = change.apply(_grant("b:1:1", 1, ledger.Limit(5, 2)), after)
     self.assertIsNone(refused)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -50,7 +50,7 @@
       served += 10
     self.assertTrue(served >= 0.75 * _LIMIT, served)
 
-  def test_power_lost_by_all_costs_what_the_clocks_cannot_tell(self):
+  def test_power_loss_of_all_costs_what_the_clocks_cannot_bound(self):
     # No clocks are compared here: the wall clock is trusted to 5 s, in which
     # the dead routers may have drawn more than their ceilings without growth.
     served = 0
--- a/tests/test_renewals.py
+++ b/tests/test_renewals.py
@@ -61,7 +61,7 @@
       value = change.apply(renewals.Renew(f"a:{life}", _at(life)), value)
     self.assertEqual(["a:3", "a:4", "a:5", "a:6"], list(value["lives"]))
 
-  def test_dead_router_is_judged_from_its_last_renewal(self):
+  def test_review_counts_from_the_last_renewal(self):
     # Ceiling issued at 50 s, renewed at 58 s, router restarted at 59 s: there
     # is no growth for two seconds, so 80 are lost. Without the renewal 80 + 7 *
     # 30 would be.
@@ -103,14 +103,14 @@
     _, asked = self.writer.posted[-1]
     self.renewer.update(change.apply(asked, None))
 
-  def test_holder_counts_from_its_renewal_at_once(self):
+  def test_growth_restarts_at_the_renewal(self):
     self.clock.advance(datetime.timedelta(seconds=4))
     self.table.update_ceiling("b", self.clock.monotonic())
     self.assertEqual(160, self.table.rows["a:1:1"].free)
     self.assertEqual(1, self._renew())
     self.assertEqual(100, self.table.rows["a:1:1"].free)
 
-  def test_no_other_is_sent_into_a_silent_store(self):
+  def test_no_second_renewal_is_sent_to_an_unresponsive_store(self):
     self.assertEqual(1, self._renew())
     self.clock.advance(datetime.timedelta(seconds=4))
     self.assertEqual(1, self._renew())
@@ -119,7 +119,7 @@
     self._answer()
     self.assertEqual(2, self._renew())
 
-  def test_overdrawn_promise_is_not_renewed(self):
+  def test_overdrawn_ceiling_is_not_renewed(self):
     # While unreachable the holder drew more than its ceiling allowed without
     # growth. A renewal would state the contrary.
     self.clock.advance(datetime.timedelta(seconds=4))
@@ -127,7 +127,7 @@
     self.assertIsNotNone(self.table.reserve("b", 150))
     self.assertEqual(0, self._renew())
 
-  def test_nothing_promised_nothing_renewed(self):
+  def test_without_ceilings_nothing_is_renewed(self):
     self.table.rows["a:1:1"].issued_ceilings.clear()
     self.assertEqual(0, self._renew())
 
@@ -147,7 +147,7 @@
     virtual.run(_run)
     return result[0]
 
-  def test_router_that_promised_nothing_reads_earlier_renewals(self):
+  def test_router_without_ceilings_reads_earlier_renewals(self):
     """Guards against dead routers' tokens that wait for a read nobody makes."""
     self.writer.value = change.apply(renewals.Renew("a:0", _at(5.0)), None)
     found, took_s = self._read_earlier()
@@ -159,7 +159,7 @@
     self.assertEqual({}, found)
     self.assertTrue(took_s < 0.1, took_s)
 
-  def test_renewals_are_read_again_while_the_store_is_away(self):
+  def test_renewals_are_read_again_while_the_store_is_unavailable(self):
     self.writer.value = change.apply(renewals.Renew("a:0", _at(5.0)), None)
     self.writer.failures = 3
     found, took_s = self._read_earlier()
--- a/tests/test_reserving.py
+++ b/tests/test_reserving.py
@@ -39,7 +39,7 @@
 
     return anyio.run(go)
 
-  def test_caller_that_leaves_as_its_tokens_come_gives_them_back(self):
+  def test_caller_cancelled_as_its_tokens_arrive_returns_them(self):
     # The caller is cancelled at the moment its reservation is made, before the
     # request has it. Without the fix nobody would settle it, and the tokens
     # would stay reserved until the router ends.
@@ -52,7 +52,7 @@
 
     self.assertEqual([(7, 0)], self._run(caller))
 
-  def test_tokens_that_come_too_late_go_back(self):
+  def test_late_tokens_are_returned(self):
     async def caller(reserver, pool, scope):
       del pool, scope
       self.assertIsNone(await reserver.reserve("b", 7))
