--- a/mustardfall/budget/acquiring.py
+++ b/mustardfall/budget/acquiring.py
@@ -51,7 +51,7 @@
 
 
 class _PendingGrant:
-  """A grant request in progress."""
+  """A grant request or refill in progress."""
 
   def __init__(self) -> None:
     self.kv_replied = anyio.Event()
@@ -256,7 +256,7 @@
 
   async def _request_part(
       self,
-      owner: members_lib.Member,
+      router: members_lib.Member,
       budget: str,
       least: int,
       want: int,
@@ -265,28 +265,28 @@
     """Asks a router for a part; returns whether its answer is final."""
     part = self._table.new_gid()
     request = peers_lib.Ask(budget, customer, part, least, want)
-    answer = await self._peers.reserve(owner, request)
+    answer = await self._peers.reserve(router, request)
     if answer is None:
-      # The owner may have delegated the part and its reply may have been lost.
+      # The router may have delegated the part and its reply may have been lost.
       # The part is settled as unused, which returns it; no request drew on it.
       self._counts["owner_unreachable"] += 1
-      self._members.suspect(owner.life)
-      unused = allotment.Row(budget, part, 0, 0.0, owner.life)
+      self._members.suspect(router.life)
+      unused = allotment.Row(budget, part, 0, 0.0, router.life)
       self._settler.queue_ended(unused)
       return False
     if answer.tokens:
       self._counts["parts"] += 1
       now = self._clock.monotonic()
-      self._table.add(budget, part, answer.tokens, now, owner.life, answer.gid)
+      self._table.add(budget, part, answer.tokens, now, router.life, answer.gid)
       self._refusals.remove(budget)
     elif not answer.unsure:
-      # The refusal is cached only briefly: the owner has the current state and
+      # The refusal is cached only briefly: the router has the current state and
       # answers from its own cache.
       self._refusals.add(budget, least, _OWNER_REFUSAL_TTL_S)
       if answer.exhausted:
         self._budget_view.note_exhausted(budget, least)
     if answer.unsure and self._members.is_large:
-      self._members.suspect(owner.life)
+      self._members.suspect(router.life)
     return not answer.unsure
 
   @property
@@ -317,8 +317,8 @@
     this, their budgets would count as having a grant in progress forever, and
     every request that needs one would be refused.
     """
-    ordered = {grant_request.budget for grant_request in self._grant_requests}
-    for budget in self._pending_grants.keys() - ordered:
+    requested = {grant_request.budget for grant_request in self._grant_requests}
+    for budget in self._pending_grants.keys() - requested:
       self._pending_grants.pop(budget).end()
 
   async def _run_grant_request(self, grant_request: _GrantRequest) -> None:
--- a/mustardfall/budget/settling.py
+++ b/mustardfall/budget/settling.py
@@ -213,8 +213,8 @@
     for gid in state["grants"]:
       life = ledger.holder(gid)
       if life == self._members.me.life:
-        has_row = gid in self._table.rows or gid in pending_gids
-        if not has_row and gid not in in_progress:
+        is_known = gid in self._table.rows or gid in pending_gids
+        if not is_known and gid not in in_progress:
           self.counts["stray_grants"] += 1
           self.settle_row(allotment.Row(budget, gid, 0, 0.0))
       elif self._members.has_gone(life) and not self._will_be_reviewed(
