--- a/mustardfall/budget/ledger.py
+++ b/mustardfall/budget/ledger.py
@@ -623,4 +623,6 @@
     if result.succeeded:
       return after
   kind = errors.KvUnknownError if sent else errors.KvUnavailableError
-  raise kind(f"budget {name}: no write after {_MAX_CAS_ATTEMPTS} attempts")
+  raise kind(
+      f"budget {name}: compare-and-swap failed {_MAX_CAS_ATTEMPTS} times"
+  )
