--- a/mustardfall/budget/granting.py
+++ b/mustardfall/budget/granting.py
@@ -1,4 +1,4 @@
-"""Asks the KV for grants, and promises how far they will be drawn."""
+"""Requests grants from the KV and issues ceilings on their use."""
 
 import collections
 from collections.abc import Callable
@@ -7,9 +7,9 @@
 from mustardfall import errors
 from mustardfall import settings
 from mustardfall.budget import allotment
+from mustardfall.budget import budget_view as budget_view_lib
 from mustardfall.budget import ceilings as ceilings_lib
 from mustardfall.budget import holding
-from mustardfall.budget import known as known_lib
 from mustardfall.budget import ledger
 from mustardfall.budget import refusals as refusals_lib
 from mustardfall.budget import settling
@@ -19,28 +19,29 @@
 
 logger = logging.getLogger(__name__)
 
-_LEAST_REFILL = 0.1
-"""Part of what is to be held that a refill brings at least."""
-_NO_BUDGET = ledger.Ledger(
+_MIN_REFILL_FRACTION = 0.1
+"""Smallest refill, as a fraction of the target."""
+_EMPTY_LEDGER = ledger.Ledger(
     limit=0, spent=0, grants={}, lost={}, lost_before=0, parts={}, ops=[]
 )
-"""Stands for a budget that the KV does not hold."""
+"""Returned for a budget that does not exist in the KV."""
 
 
 class Granter:
-  """Takes and raises this router's grants.
+  """Requests and enlarges this router's grants.
 
   Args:
     config: how grants are sized.
     clock: the time source.
-    members: how many regions share a budget.
-    known: what is known of the budgets.
+    members: the number of regions that share a budget.
+    budget_view: what is known of the budgets.
     table: this router's allotments.
-    refusals: budgets that lately could not give.
+    refusals: budgets that recently refused.
     settler: settles grants and reports their use.
     writer: the batch writer to the KV.
-    vouch: marks a moment of this host as agreed, if it is.
-    counts: what happened so far.
+    vouch: adds a clock error to a moment of this host if its clock was compared
+      with other routers' clocks.
+    counts: event counters.
   """
 
   def __init__(
@@ -48,9 +49,9 @@
       config: settings.Allotment,
       clock: clock_lib.Clock,
       members: members_lib.Members,
-      known: known_lib.Known,
+      budget_view: budget_view_lib.BudgetView,
       table: allotment.Table,
-      refusals: refusals_lib.Refusals,
+      refusals: refusals_lib.RefusalCache,
       settler: settling.Settler,
       writer: writer_lib.Writer,
       vouch: Callable[[clock_lib.Moment], clock_lib.Moment],
@@ -59,54 +60,54 @@
     self._config = config
     self._clock = clock
     self._members = members
-    self._known = known
+    self._budget_view = budget_view
     self._table = table
     self._refusals = refusals
     self._settler = settler
     self._writer = writer
     self._vouch = vouch
     self._counts = counts
-    self.asking: set[str] = set()
-    """Grants asked of the KV whose answer is still out."""
+    self.pending_gids: set[str] = set()
+    """Grants with a request to the KV in progress."""
 
   async def raise_ceiling(self, budget: str, least: int) -> bool | None:
-    """Promises anew, so that `least` tokens of what is granted may be drawn.
+    """Issues a ceiling that allows `least` more tokens of the budget's grant.
 
     Returns:
-      Whether the KV answered; None: this grant has not so many left.
+      Whether the KV answered; None if the grant has fewer tokens left.
     """
-    row = self._table.growing(budget)
-    if row is None or not row.promises or row.undrawn < least:
+    row = self._table.growable_row(budget)
+    if row is None or not row.issued_ceilings or row.undrawn < least:
       return None
-    ceiling = self.promise(budget, row, least)
+    ceiling = self.issue_ceiling(budget, row, least)
     if ceiling is None:
       return None
-    self.asking.add(row.gid)
+    self.pending_gids.add(row.gid)
     try:
       await self._settler.report_now(row, ceiling)
     except errors.KvUnavailableError:
-      self._table.withdraw(row.gid, ceiling, self._clock.monotonic())
+      self._table.withdraw_ceiling(row.gid, ceiling, self._clock.monotonic())
       return False
     except errors.KvUnknownError:
       return False
     finally:
-      self.asking.discard(row.gid)
+      self.pending_gids.discard(row.gid)
     self._counts["ceilings_raised"] += 1
     return True
 
-  def promise(
+  def issue_ceiling(
       self, budget: str, row: allotment.Row | None, least: int
   ) -> ceilings_lib.Ceiling | None:
-    """Returns a new promise for a row, noted there as sent."""
-    limit = self._known.limit_of(budget)
+    """Returns a new ceiling for a row and records it there as sent."""
+    limit = self._budget_view.limit_of(budget)
     if limit is None or not self._config.reports:
       return None
     drawn = 0 if row is None else row.drawn
-    slack, rate = least, 0.0  # nothing more draws on a retired row
+    slack, rate = least, 0.0  # a retired row takes no new reservations
     if row is None or not row.retiring:
-      view = self._known.view(budget, limit)
-      slack = max(least, holding.slack(view, self._config))
-      rate = holding.growth(view, self._config)
+      sizing = self._budget_view.sizing_input(budget, limit)
+      slack = max(least, holding.slack(sizing, self._config))
+      rate = holding.ceiling_growth(sizing, self._config)
     ceiling = ceilings_lib.Ceiling(
         tokens=drawn + slack,
         grace_s=self._config.ceiling_grace_s,
@@ -114,41 +115,42 @@
         issued=self._vouch(self._clock.moment()),
     )
     if row is not None:
-      self._table.issue(row.gid, ceiling, self._clock.monotonic())
+      self._table.add_ceiling(row.gid, ceiling, self._clock.monotonic())
     return ceiling
 
-  def report_use(self) -> None:
-    """Reports what grants have used, with a promise each."""
+  def report_usage(self) -> None:
+    """Reports the usage of grants, each with a new ceiling."""
     for row in self._table.rows.values():
-      # Not while a higher promise is on its way: this one would be the
-      # later, take the place of that one in the ledger, and have the
-      # request refused for which that one was made.
-      if row.gid not in self.asking and self._settler.owes_report(row):
-        self._settler.report(row, self.promise(row.budget, row, 0))
+      # Skipped while a higher ceiling is in flight: this one would be newer,
+      # replace it in the ledger and cause the refusal of the request that the
+      # higher one was issued for.
+      if row.gid not in self.pending_gids and self._settler.needs_report(row):
+        self._settler.report(row, self.issue_ceiling(row.budget, row, 0))
 
   def _share(self) -> float:
-    """Returns the part of a budget's headroom that a grant may take.
+    """Returns the fraction of a budget's headroom that one grant may take.
 
-    An owner draws for its whole region, so it may take the region's part.
-    Grants that shrink with the headroom would leave many rows with a rest
-    too small for any request: at the edge of a budget, false refusals.
+    An owner draws for its whole region, so it may take the region's share.
+    Grants that shrink with the headroom would leave many rows with remainders
+    too small for any request, which causes false refusals when a budget is
+    nearly used up.
     """
     if self._config.owned:
       return 1.0 / self._members.regions
     return 1.0
 
-  def is_worth_a_refill(self, budget: str) -> bool:
-    """Whether a refill would bring enough to be worth a call to the KV.
+  def is_refill_worthwhile(self, budget: str) -> bool:
+    """Whether a refill would bring enough tokens to justify a call to the KV.
 
-    A budget runs low here while requests in flight have most of what is held
-    set aside; until they have ended no more may be held.
+    A budget also runs low while requests in flight have reserved most of the
+    tokens held. No more may be held until they end.
     """
-    limit = self._known.limit_of(budget)
+    limit = self._budget_view.limit_of(budget)
     if limit is None:
       return True
-    view = self._known.view(budget, limit)
-    target = holding.target(view, self._config)
-    return target - view.held >= target * _LEAST_REFILL
+    sizing = self._budget_view.sizing_input(budget, limit)
+    target = holding.target(sizing, self._config)
+    return target - sizing.held >= target * _MIN_REFILL_FRACTION
 
   async def grant(
       self,
@@ -156,53 +158,54 @@
       least: int,
       want: int,
       margin: float,
-      owns: bool = True,
+      as_owner: bool = True,
   ) -> ledger.Ledger | None:
-    """Asks the KV for one grant; None when the KV gave no answer."""
-    limit = self._known.limit_of(budget)
+    """Requests one grant from the KV; None if the KV did not answer."""
+    limit = self._budget_view.limit_of(budget)
     share = self._share()
-    if owns and limit is not None:
-      view = self._known.view(budget, limit)
-      want = max(least, holding.target(view, self._config) - view.held)
-      if view.free is None:
-        # Of a ledger that was not seen yet most may be gone; the share is
-        # taken of what is left when the grant is written.
-        share = holding.equal_share(view, self._config)
-    row = self._table.growing(budget)
+    if as_owner and limit is not None:
+      sizing = self._budget_view.sizing_input(budget, limit)
+      want = max(least, holding.target(sizing, self._config) - sizing.held)
+      if sizing.free is None:
+        # The ledger was not read yet and may be mostly used; the share applies
+        # to the headroom at the time of the write.
+        share = holding.equal_share(sizing, self._config)
+    row = self._table.growable_row(budget)
     base = row.granted if row is not None else 0
     gid = row.gid if row is not None else self._table.new_gid()
     asked_at = self._clock.monotonic()
-    ceiling = self.promise(budget, row, least)
+    ceiling = self.issue_ceiling(budget, row, least)
     change = ledger.Grant(gid, least, want, share, margin, limit, base, ceiling)
-    self.asking.add(gid)
+    self.pending_gids.add(gid)
     try:
       after = await self._writer.submit(ledger.key(budget), change)
     except errors.KvUnavailableError:
       self._counts["grant_failures"] += 1
       if ceiling is not None:
-        self._table.withdraw(gid, ceiling, self._clock.monotonic())
+        self._table.withdraw_ceiling(gid, ceiling, self._clock.monotonic())
       return None
     except errors.KvUnknownError:
       self._counts["grant_failures"] += 1
       if row is None:
-        # It may have landed: settled as unused, it goes back. Should it
-        # land later still, `sweep` finds it in the ledger. A row that
-        # grows needs none of that: the ledger's next sight shows it.
+        # The grant may have been written: settling it as unused returns it. If
+        # it is written even later, `settle_strays` finds it in the ledger. A
+        # row that grows needs neither: the next read of the ledger shows its
+        # size.
         self._settler.settle_row(allotment.Row(budget, gid, 0, 0.0))
       return None
     finally:
-      self.asking.discard(gid)
+      self.pending_gids.discard(gid)
     if after is None:
-      return _NO_BUDGET
+      return _EMPTY_LEDGER
     granted = ledger.granted(after, gid)
     _log_grant(budget, change, granted, after)
     if granted > base:
-      self._note_grant(budget, gid, granted, new=row is None)
+      self._record_grant(budget, gid, granted, new=row is None)
     if ceiling is not None:
-      self._note_promise(gid, after, ceiling, asked_at, new=row is None)
+      self._record_ceiling(gid, after, ceiling, asked_at, new=row is None)
     return after
 
-  def _note_promise(
+  def _record_ceiling(
       self,
       gid: str,
       after: ledger.Ledger,
@@ -210,24 +213,26 @@
       asked_at: float,
       new: bool,
   ) -> None:
-    """Notes what became of a promise that went with a grant."""
+    """Records whether a ceiling sent with a grant was stored."""
     now = self._clock.monotonic()
-    stands = ledger.ceiling(after, gid)
-    if stands is None or stands.issued < ceiling.issued:
-      self._table.withdraw(gid, ceiling, now)
+    stored = ledger.ceiling(after, gid)
+    if stored is None or stored.issued < ceiling.issued:
+      self._table.withdraw_ceiling(gid, ceiling, now)
     elif new:
-      self._table.issue(gid, ceiling, asked_at)
+      self._table.add_ceiling(gid, ceiling, asked_at)
 
-  def _note_grant(self, budget: str, gid: str, granted: int, new: bool) -> None:
+  def _record_grant(
+      self, budget: str, gid: str, granted: int, new: bool
+  ) -> None:
     self._counts["grants"] += 1
     now = self._clock.monotonic()
     if new:
       self._table.add(budget, gid, granted, now)
     else:
-      # A row that was settled meanwhile stays so: its settlement, in the
-      # same batch or a later one, gives the growth back with the rest.
+      # A row settled in the meantime stays settled: its settlement, in the same
+      # batch or a later one, also returns the growth.
       self._table.grow(gid, granted, now)
-    self._refusals.end(budget)
+    self._refusals.remove(budget)
 
 
 def _log_grant(
--- a/mustardfall/budget/pool.py
+++ b/mustardfall/budget/pool.py
@@ -1,29 +1,29 @@
 """A router's share of the budgets: where a request's tokens come from.
 
-One router per region *owns* each budget, by consistent hashing over the
-routers that are up. It alone takes the budget's grants from the KV and
-hands parts of them on to the others, over HTTP. So a budget's free
-tokens lie in one place per region instead of in every router, which
-saves KV writes and refusals of requests that the budget could cover.
+One router per region *owns* each budget, by consistent hashing over the routers
+that are up. Only the owner takes the budget's grants from the KV; it delegates
+parts of them to the other routers over HTTP. A budget's free tokens are thus in
+one place per region instead of in every router, which saves KV writes and
+avoids refusing requests that the budget covers.
 
-Ownership is an optimisation, not a lock: a router that cannot reach the
-owner takes a grant from the KV itself, and two owners at once are safe,
-since each spends only what the KV granted it.
+Ownership is an optimisation, not a lock. A router that cannot reach the owner
+takes a grant from the KV itself, and two owners at once are safe, since each
+spends only what the KV granted it.
 
-`Pool` wires the parts together; each job has a module of its own.
+`Pool` connects the components; each has a module of its own.
 """
 
 import collections
 from collections.abc import Callable, Iterable
 
 from mustardfall import settings
+from mustardfall.budget import acquiring
 from mustardfall.budget import allotment
-from mustardfall.budget import drawing
+from mustardfall.budget import budget_view as budget_view_lib
 from mustardfall.budget import granting
-from mustardfall.budget import handing
 from mustardfall.budget import holding
-from mustardfall.budget import known as known_lib
 from mustardfall.budget import ledger
+from mustardfall.budget import ownership
 from mustardfall.budget import policy as policy_lib
 from mustardfall.budget import recalling
 from mustardfall.budget import refusals
@@ -41,15 +41,15 @@
   """A router's share of the budgets.
 
   Args:
-    config: the router's settings, whole.
+    config: the router's complete settings.
     clock: the time source.
-    members: who is up and owns what.
+    members: the routers that are up and the owners of budgets.
     peers: calls to other routers.
     writer: the batch writer to the KV.
     policy_of: returns a customer's policy.
-    limit_of: returns a budget's limit where the configuration sets it,
-      None where the ledger keeps its own.
-    clock_check: vouches for the wall clock, if anything does.
+    limit_of: returns a budget's limit if the configuration sets it, None if the
+      ledger has its own.
+    clock_check: compares the wall clock with other routers' clocks, if given.
     budgets: returns the budgets that the configuration sets.
   """
 
@@ -69,10 +69,10 @@
     self._clock = clock
     self._members = members
     self._counts: collections.Counter[str] = collections.Counter()
-    self._refusals = refusals.Refusals(clock)
+    self._refusals = refusals.RefusalCache(clock)
     self._reported_at = -float("inf")
     self.table = allotment.Table(members.me.life, self._config)
-    self.known = known_lib.Known(
+    self.budget_view = budget_view_lib.BudgetView(
         self._config,
         clock,
         members,
@@ -82,7 +82,7 @@
         budgets,
     )
     self._settler = settling.Settler(self.table, members, peers, writer)
-    vouch = clock_check.vouch if clock_check is not None else _believe
+    vouch = clock_check.vouch if clock_check is not None else _unverified
     self.renewer = renewals.Renewer(
         self._config, clock, members.me.life, self.table, writer, vouch
     )
@@ -90,7 +90,7 @@
         clock,
         members,
         peers,
-        self.known,
+        self.budget_view,
         writer,
         clock_check,
         self.renewer,
@@ -110,7 +110,7 @@
         self._config,
         clock,
         members,
-        self.known,
+        self.budget_view,
         self.table,
         self._refusals,
         self._settler,
@@ -118,12 +118,12 @@
         vouch,
         self._counts,
     )
-    self.drawer = drawing.Drawer(
+    self.acquirer = acquiring.TokenAcquirer(
         self._config,
         clock,
         members,
         peers,
-        self.known,
+        self.budget_view,
         self.table,
         self._refusals,
         self._granter,
@@ -131,15 +131,15 @@
         self._settler,
         self._counts,
     )
-    self.owner = handing.Owner(
+    self.owner = ownership.Owner(
         self._config,
         clock,
         members,
         peers,
-        self.known,
+        self.budget_view,
         self.table,
         self._refusals,
-        self.drawer,
+        self.acquirer,
         self._settler,
         writer,
         self._counts,
@@ -147,26 +147,27 @@
 
   @property
   def counts(self) -> collections.Counter[str]:
-    """What happened so far."""
+    """Event counters of all components."""
     return self._counts + self._settler.counts
 
   async def reserve(
       self, budget: str, tokens: int, customer: str
   ) -> allotment.Reservation | None:
-    """Sets `tokens` aside for a request.
+    """Reserves `tokens` for a request.
 
     Returns:
-      The reservation, or None when the budget, or the way to it, cannot
-      give that many now: the request must not run.
+      The reservation. None if the budget cannot provide that many now, or
+      neither the KV nor another router can be reached: the request must not
+      run.
     """
-    return await self.drawer.reserve(budget, tokens, customer)
+    return await self.acquirer.reserve(budget, tokens, customer)
 
   def settle(
       self, reservation: allotment.Reservation, used: int
   ) -> allotment.Settled:
     """Ends a reservation; `used` tokens of it are billed."""
     settled = self.table.settle(reservation, used)
-    ended = self.table.end_part(reservation.gid, self._clock.monotonic())
+    ended = self.table.pop_due_part(reservation.gid, self._clock.monotonic())
     if ended is not None:
       self._settler.settle_row(ended)
     return settled
@@ -175,73 +176,73 @@
     """Settles ended parts with their owners; see `settling`."""
     await self._settler.settle_parts()
 
-  def sweep(self, budget: str, found: ledger.Ledger) -> None:
-    """Takes in what a ledger shows of this router's grants, and others'."""
+  def update_from_ledger(self, budget: str, state: ledger.Ledger) -> None:
+    """Updates this router's state from a ledger that was read."""
     now = self._clock.monotonic()
-    self.known.note(budget, found)
+    self.budget_view.update(budget, state)
     for gid in self.table.by_budget.get(budget, ()):
-      self.table.grow(gid, ledger.granted(found, gid), now)
-      ceiling = ledger.ceiling(found, gid)
+      self.table.grow(gid, ledger.granted(state, gid), now)
+      ceiling = ledger.ceiling(state, gid)
       if ceiling is not None:
-        self.table.confirm(gid, ceiling, now)
-        self._settler.confirm(gid, ceiling)
-      if gid in found["lost"]:
-        # Taken for dead while it was cut off. A grant that is written off
-        # cannot grow: left in use, every refill would be refused.
+        self.table.confirm_ceiling(gid, ceiling, now)
+        self._settler.confirm_ceiling(gid, ceiling)
+      if gid in state["lost"]:
+        # This router was unreachable and considered dead. A written-off grant
+        # cannot grow: if its row stayed in use, every refill would be refused.
         self.table.rows[gid].retiring = True
-    self._settler.sweep(budget, found, self._granter.asking)
-    self.reviewer.note(budget, found)
+    self._settler.settle_strays(budget, state, self._granter.pending_gids)
+    self.reviewer.schedule(budget, state)
 
   def retire(self, budget: str) -> None:
-    """Gives the budget's idle tokens back, soon; the rest as they end."""
+    """Returns the budget's idle tokens soon, the others as requests end."""
     for row in self.table.retire(budget):
       self._settler.settle_row(row)
     self._shrink_retired()
 
   def _shrink_retired(self) -> None:
     for row in self.table.rows.values():
-      if row.gid not in self._granter.asking:
+      if row.gid not in self._granter.pending_gids:
         self._settler.shrink(row)
 
   def tick(self, elapsed_s: float) -> None:
-    """Ages rows, settles finished ones, writes off what is gone."""
+    """Retires rows, settles finished ones and writes off lost parts."""
     now = self._clock.monotonic()
     for row in self.table.tick(now, elapsed_s):
       self._settler.settle_row(row)
-    report_s = holding.report_s(self._config, len(self._members.lives))
+    report_s = holding.report_interval_s(self._config, len(self._members.lives))
     if now - self._reported_at >= report_s and self._config.reports:
       self._reported_at = now
-      self._granter.report_use()
+      self._granter.report_usage()
       self.renewer.renew()
-    self.known.tick()
-    self.drawer.prefetch()
-    self.owner.return_unowned()
+    self.budget_view.tick()
+    self.acquirer.prefetch()
+    self.owner.retire_unowned()
     self.owner.write_off_parts()
     self._shrink_retired()
     quiet_since = now - self._config.term_s
-    for part in (
+    for component in (
         self._refusals,
-        self.known,
+        self.budget_view,
         self.recaller,
         self.reviewer,
-        self.drawer,
+        self.acquirer,
     ):
-      part.forget(quiet_since)
+      component.prune(quiet_since)
 
   async def stop(self) -> None:
-    """Hands everything back; called after the last request has ended.
+    """Returns everything; called after the last request has ended.
 
-    Parts still with other routers are called back first; what does not
-    come back stays granted, and its holders settle it in the ledger.
+    Parts held by other routers are recalled first. Those that are not returned
+    stay granted, and their holders settle them in the ledger.
     """
-    self.drawer.stopping = True
-    await self.owner.call_back()
+    self.acquirer.stopping = True
+    await self.owner.recall_parts()
     for row in self.table.clear():
       self._settler.settle_row(row)
     await self._settler.settle_parts()
     self._settler.settle_orphans()
 
 
-def _believe(moment: clock_lib.Moment) -> clock_lib.Moment:
-  """Vouches for nothing: no clocks are compared."""
+def _unverified(moment: clock_lib.Moment) -> clock_lib.Moment:
+  """Returns `moment` without a clock error, as no clocks are compared."""
   return moment
--- a/mustardfall/budget/reserving.py
+++ b/mustardfall/budget/reserving.py
@@ -1,4 +1,4 @@
-"""Reserves tokens for a caller that waits for a moment only."""
+"""Reserves tokens for a caller that waits for a limited time."""
 
 import logging
 
@@ -12,14 +12,15 @@
 
 
 class Reserver:
-  """Reserves soon, or gives up.
+  """Reserves tokens within a time limit.
 
-  What it may lead to (a grant asked of the store) goes on by itself: a
-  caller must not wait out a store that does not answer.
+  Work that a reservation starts, such as a grant request to the store,
+  continues in the background after the limit: a caller must not wait for a
+  store that does not answer.
 
   Args:
     pool: the budgets.
-    tasks: where work that outlives a request runs.
+    tasks: the task group for work that outlives a request.
     wait_s: how long a caller waits for tokens, seconds.
   """
 
@@ -33,45 +34,45 @@
   async def reserve(
       self, budget: str, tokens: int
   ) -> allotment.Reservation | None:
-    """Returns a reservation, or None when there was none in time."""
-    waiting = _Waiting()
+    """Returns a reservation, or None if there was none in time."""
+    pending = _PendingReservation()
 
     async def _reserve() -> None:
       try:
-        waiting.found = await self._pool.reserve(budget, tokens, budget)
-      except Exception:  # noqa: BLE001  it runs beside all other requests
-        # An error here would end the group of tasks that it runs in, and
-        # with it the router. The request goes without tokens.
+        pending.found = await self._pool.reserve(budget, tokens, budget)
+      except Exception:  # noqa: BLE001  other requests must continue
+        # An error here would cancel the task group and with it the router. The
+        # request goes without tokens.
         logger.exception("reservation failed", extra={"budget": budget})
-      waiting.done.set()
-      if waiting.over:
-        self._return(waiting.take())
+      pending.done.set()
+      if pending.abandoned:
+        self._return(pending.take())
 
     self._tasks.start_soon(_reserve)
     try:
       with anyio.move_on_after(self._wait_s):
-        await waiting.done.wait()
-      return waiting.take()
+        await pending.done.wait()
+      return pending.take()
     finally:
-      # A caller that leaves in the very moment in which its tokens come
-      # has not taken them; kept, they would be set aside for ever.
-      waiting.over = True
-      self._return(waiting.take())
+      # A caller cancelled at the moment when its tokens arrive has not taken
+      # them; without this they would stay reserved forever.
+      pending.abandoned = True
+      self._return(pending.take())
 
   def _return(self, reservation: allotment.Reservation | None) -> None:
     if reservation is not None:
       self._pool.settle(reservation, 0)
 
 
-class _Waiting:
-  """A reservation that is being made, and whether anybody still waits."""
+class _PendingReservation:
+  """A reservation in progress, and whether its caller still waits."""
 
   def __init__(self) -> None:
     self.done = anyio.Event()
     self.found: allotment.Reservation | None = None
-    self.over = False
+    self.abandoned = False
 
   def take(self) -> allotment.Reservation | None:
-    """Returns the reservation, to one taker only."""
+    """Returns the reservation to the first call only."""
     found, self.found = self.found, None
     return found
--- a/mustardfall/budget/reviewing.py
+++ b/mustardfall/budget/reviewing.py
@@ -1,4 +1,4 @@
-"""Gives back what dead routers held of budgets and cannot have drawn."""
+"""Returns tokens that dead routers held and cannot have drawn."""
 
 import collections
 import logging
@@ -6,7 +6,7 @@
 import anyio
 
 from mustardfall import errors
-from mustardfall.budget import known as known_lib
+from mustardfall.budget import budget_view as budget_view_lib
 from mustardfall.budget import ledger
 from mustardfall.budget import renewals
 from mustardfall.kv import writer as writer_lib
@@ -17,32 +17,32 @@
 
 logger = logging.getLogger(__name__)
 
-_PAUSE_S = 0.05
-"""Between two rounds of reviews."""
+_ROUND_PAUSE_S = 0.05
+"""Pause between two rounds of reviews."""
 _CLOCK_WAIT_S = 1.5
 """How long a review waits for the clocks to be compared. Routers that lost
-power together are back within a second of each other; what the clocks do
-not tell by then is written off for good."""
+power together are up again within a second of each other. What cannot be
+bounded by then is written off for good."""
 _RENEWALS_WAIT_S = 1.5
-"""How long a review waits for the renewals of earlier lives, which come with
+"""How long a review waits for the renewals of earlier lives, which arrive with
 this life's first: one call, once the store answers."""
-_AGAIN_S = 1.0
-"""A review is asked for again after this. A router that has just started
-may not be reached at once; each sight of the ledger asks again."""
+_REVIEW_RETRY_S = 1.0
+"""A review is requested again after this time. A router that has just started
+may not be reachable yet; each read of the ledger triggers another request."""
 
 
 class Reviewer:
-  """Finds grants of dead routers and has their later lives judge them.
+  """Has the grants of dead routers reviewed by those routers' later lives.
 
   Args:
     clock: the time source.
-    members: who is up.
+    members: the routers that are up.
     peers: calls to other routers.
-    known: what is known of the budgets.
+    budget_view: what is known of the budgets.
     writer: the batch writer to the KV.
-    clock_check: vouches for the wall clock, if anything does.
-    renewer: knows when earlier lives renewed their promises.
-    counts: what happened so far.
+    clock_check: compares the wall clock with other routers' clocks, if given.
+    renewer: knows when earlier lives renewed their ceilings.
+    counts: event counters.
   """
 
   def __init__(
@@ -50,7 +50,7 @@
       clock: clock_lib.Clock,
       members: members_lib.Members,
       peers: peers_lib.Client,
-      known: known_lib.Known,
+      budget_view: budget_view_lib.BudgetView,
       writer: writer_lib.Writer,
       clock_check: clockcheck.ClockCheck | None,
       renewer: renewals.Renewer,
@@ -59,58 +59,60 @@
     self._clock = clock
     self._members = members
     self._peers = peers
-    self._known = known
+    self._budget_view = budget_view
     self._writer = writer
     self._clock_check = clock_check
     self._renewer = renewer
     self._counts = counts
     self._started = clock.started()
-    self._due: set[tuple[str, str]] = set()
-    """Later lives of dead routers, and budgets that they are to review."""
-    self._event = anyio.Event()
+    self._pending_reviews: set[tuple[str, str]] = set()
+    """Later lives of dead routers, and the budgets that they are to review."""
+    self._wake = anyio.Event()
     self._asked_at: dict[str, float] = {}
-    """When a review was last asked for, by grant."""
+    """When a review was last requested, by grant."""
 
   def _vouch(self, moment: clock_lib.Moment) -> clock_lib.Moment:
     check = self._clock_check
     return moment if check is None else check.vouch(moment)
 
-  def find(self, budget: str, found: ledger.Ledger) -> set[tuple[str, str]]:
-    """Returns who can give back what dead routers held of a budget."""
+  def find_reviews(
+      self, budget: str, state: ledger.Ledger
+  ) -> set[tuple[str, str]]:
+    """Returns the routers that can review dead routers' grants of a budget."""
     reviews = set()
     now = self._clock.monotonic()
-    for gid in found.get("ceilings", {}):
+    for gid in state.get("ceilings", {}):
       member = self._members.successor(ledger.holder(gid))
       asked_at = self._asked_at.get(gid, -float("inf"))
-      if member is not None and now - asked_at >= _AGAIN_S:
+      if member is not None and now - asked_at >= _REVIEW_RETRY_S:
         self._asked_at[gid] = now
         reviews.add((member.life, budget))
     return reviews
 
-  def note(self, budget: str, found: ledger.Ledger) -> None:
-    """Has what a ledger shows of dead routers reviewed soon."""
-    reviews = self.find(budget, found)
+  def schedule(self, budget: str, state: ledger.Ledger) -> None:
+    """Schedules reviews of the dead routers' grants that a ledger shows."""
+    reviews = self.find_reviews(budget, state)
     if reviews:
-      self._due |= reviews
-      self._event.set()
+      self._pending_reviews |= reviews
+      self._wake.set()
 
   async def run(self) -> None:
-    """Has what dead routers held of budgets given back, until cancelled."""
+    """Runs scheduled reviews until cancelled."""
     while True:
-      await self._event.wait()
-      self._event = anyio.Event()
-      await self.review_noted()
-      await anyio.sleep(_PAUSE_S)
-
-  async def review_noted(self) -> None:
-    """Has the grants of dead routers reviewed that were seen so far."""
-    reviews, self._due = self._due, set()
+      await self._wake.wait()
+      self._wake = anyio.Event()
+      await self.review_pending()
+      await anyio.sleep(_ROUND_PAUSE_S)
+
+  async def review_pending(self) -> None:
+    """Runs the reviews scheduled so far."""
+    reviews, self._pending_reviews = self._pending_reviews, set()
     async with anyio.create_task_group() as tg:
       for life, budget in reviews:
         tg.start_soon(self.review_one, life, budget)
 
   async def review_one(self, life: str, budget: str) -> None:
-    """Has the router life `life` review what it held before."""
+    """Has router life `life` review the grants of its earlier lives."""
     if life == self._members.me.life:
       await self._review_own(budget)
       return
@@ -119,24 +121,24 @@
       await self._peers.review(member, budget)
 
   async def serve(self, budget: str) -> None:
-    """Gives back what earlier lives of this router did not draw.
+    """Returns what earlier lives of this router did not draw.
 
-    At once, or soon when the clocks have not been compared yet: a caller
-    does not wait for that.
+    Runs at once, or in the background if the clocks have not been compared yet,
+    so that the calling router does not wait for that.
     """
     if self._clock_check is None or self._clock_check.agrees:
       await self._review_own(budget)
       return
-    self._due.add((self._members.me.life, budget))
-    self._event.set()
+    self._pending_reviews.add((self._members.me.life, budget))
+    self._wake.set()
 
   async def _review_own(self, budget: str) -> None:
     if self._clock_check is not None:
       await self._clock_check.wait(_CLOCK_WAIT_S)
     me = self._members.me.life
-    renewed = await self._renewer.earlier(_RENEWALS_WAIT_S)
+    renewed = await self._renewer.earlier_renewals(_RENEWALS_WAIT_S)
     change = ledger.Reclaim(me, self._vouch(self._started), renewed)
-    before = self._known.ledgers.get(budget)
+    before = self._budget_view.ledgers.get(budget)
     try:
       after = await self._writer.submit(ledger.key(budget), change)
     except (errors.KvUnavailableError, errors.KvUnknownError) as exc:
@@ -148,8 +150,8 @@
     if before and after:
       _log_reviews(budget, change, before, after)
 
-  def forget(self, before: float) -> None:
-    """Drops what was noted before then."""
+  def prune(self, before: float) -> None:
+    """Drops the request times before `before`."""
     for gid, at in list(self._asked_at.items()):
       if at < before:
         del self._asked_at[gid]
@@ -161,7 +163,7 @@
     before: ledger.Ledger,
     after: ledger.Ledger,
 ) -> None:
-  for gid in ledger.predecessors(before, change.life):
+  for gid in ledger.earlier_grants(before, change.life):
     promise = ledger.ceiling(before, gid)
     logger.info(
         "grant of an earlier life reviewed",
--- a/tests/test_renewals.py
+++ b/tests/test_renewals.py
@@ -1,8 +1,8 @@
-"""A renewal says at one moment that all of a router's promises still hold.
+"""Tests of renewals, which confirm all of a router's ceilings at once.
 
-What the caller sees: after all routers have died, requests that the budget
-covers are served again. A router that was well but had nothing to report
-would seem to have drawn more and more; without renewals all of that is lost.
+Guards against refusals after all routers have died. A live router with nothing
+to report would appear to have drawn more and more, and without renewals all of
+that would be lost.
 """
 
 import datetime
@@ -28,7 +28,7 @@
 
 
 class _Writer:
-  """Keeps what was posted."""
+  """A writer that records posted changes."""
 
   def __init__(self):
     self.posted = []
@@ -61,14 +61,15 @@
       value = change.apply(renewals.Renew(f"a:{life}", _at(life)), value)
     self.assertEqual(["a:3", "a:4", "a:5", "a:6"], list(value["lives"]))
 
-  def test_dead_router_is_judged_from_its_last_renewal(self):
-    # Promised at 50 s, renewed at 58 s, back at 59 s: flat for two seconds,
-    # so 80 are lost; by the promise alone it would be 80 + 7 * 30.
+  def test_review_counts_from_the_last_renewal(self):
+    # Ceiling issued at 50 s, renewed at 58 s, router restarted at 59 s: there
+    # is no growth for two seconds, so 80 are lost. Without the renewal 80 + 7 *
+    # 30 would be.
     ceiling = ceilings.Ceiling(180, 2.0, 30.0, _at(50.0))
     found = change.apply(
         ledger.Grant("a:1:1", 1, 600, 1.0, 0.0, _LIMIT, 0, ceiling), None
     )
-    found = change.apply(ledger.Bill("a:1:1", 100), found)
+    found = change.apply(ledger.ReportUse("a:1:1", 100), found)
     renewed = {"a:1": _at(58.0)}
     review = ledger.Reclaim("a:2", _at(59.0), renewed)
     self.assertEqual(80, ledger.lost(change.apply(review, found)))
@@ -89,51 +90,53 @@
     )
     self.table.add("b", "a:1:1", 600, self.clock.monotonic())
     now = self.clock.monotonic()
-    self.table.issue("a:1:1", ceilings.Ceiling(100, 2.0, 30.0, _at(0)), now)
+    self.table.add_ceiling(
+        "a:1:1", ceilings.Ceiling(100, 2.0, 30.0, _at(0)), now
+    )
 
   def _renew(self) -> int:
-    """Returns how many renewals were sent so far."""
+    """Returns how many renewals were posted so far."""
     self.renewer.renew()
     return len(self.writer.posted)
 
   def _answer(self) -> None:
     _, asked = self.writer.posted[-1]
-    self.renewer.take(change.apply(asked, None))
+    self.renewer.update(change.apply(asked, None))
 
-  def test_holder_counts_from_its_renewal_at_once(self):
+  def test_growth_restarts_at_the_renewal(self):
     self.clock.advance(datetime.timedelta(seconds=4))
-    self.table.look("b", self.clock.monotonic())
+    self.table.update_ceiling("b", self.clock.monotonic())
     self.assertEqual(160, self.table.rows["a:1:1"].free)
     self.assertEqual(1, self._renew())
     self.assertEqual(100, self.table.rows["a:1:1"].free)
 
-  def test_no_other_is_sent_into_a_silent_store(self):
+  def test_no_second_renewal_is_sent_to_an_unresponsive_store(self):
     self.assertEqual(1, self._renew())
     self.clock.advance(datetime.timedelta(seconds=4))
     self.assertEqual(1, self._renew())
-    self.table.look("b", self.clock.monotonic())
+    self.table.update_ceiling("b", self.clock.monotonic())
     self.assertEqual(160, self.table.rows["a:1:1"].free)
     self._answer()
     self.assertEqual(2, self._renew())
 
-  def test_overdrawn_promise_is_not_renewed(self):
-    # Out of touch it drew more than it had promised at first. Renewed, the
-    # promise would say that it had not.
+  def test_overdrawn_ceiling_is_not_renewed(self):
+    # While unreachable the holder drew more than its ceiling allowed without
+    # growth. A renewal would state the contrary.
     self.clock.advance(datetime.timedelta(seconds=4))
-    self.table.look("b", self.clock.monotonic())
+    self.table.update_ceiling("b", self.clock.monotonic())
     self.assertIsNotNone(self.table.reserve("b", 150))
     self.assertEqual(0, self._renew())
 
-  def test_nothing_promised_nothing_renewed(self):
-    self.table.rows["a:1:1"].promises.clear()
+  def test_without_ceilings_nothing_is_renewed(self):
+    self.table.rows["a:1:1"].issued_ceilings.clear()
     self.assertEqual(0, self._renew())
 
   def _read_earlier(self):
-    """Returns the earlier lives' renewals, and the seconds that took."""
+    """Returns the earlier lives' renewals and how many seconds that took."""
 
     async def _day():
       began = anyio.current_time()
-      found = await self.renewer.earlier(1.5)
+      found = await self.renewer.earlier_renewals(1.5)
       return dict(found), anyio.current_time() - began
 
     result = []
@@ -144,8 +147,8 @@
     virtual.run(_run)
     return result[0]
 
-  def test_router_that_promised_nothing_reads_earlier_renewals(self):
-    """Guards against tokens of the dead that wait for a read nobody makes."""
+  def test_router_without_ceilings_reads_earlier_renewals(self):
+    """Guards against dead routers' tokens that wait for a read nobody makes."""
     self.writer.value = change.apply(renewals.Renew("a:0", _at(5.0)), None)
     found, took_s = self._read_earlier()
     self.assertEqual({"a:0": _at(5.0)}, found)
@@ -156,7 +159,7 @@
     self.assertEqual({}, found)
     self.assertTrue(took_s < 0.1, took_s)
 
-  def test_renewals_are_read_again_while_the_store_is_away(self):
+  def test_renewals_are_read_again_while_the_store_is_unavailable(self):
     self.writer.value = change.apply(renewals.Renew("a:0", _at(5.0)), None)
     self.writer.failures = 3
     found, took_s = self._read_earlier()
