--- a/mustardfall/emulator/store.py
+++ b/mustardfall/emulator/store.py
@@ -10,7 +10,7 @@
 
 import anyio
 
-from mustardfall.proxy import front
+from mustardfall.proxy import http_server
 from mustardfall.proxy import internal
 from mustardfall.proxy import messages
 from mustardfall.routing import configuration
@@ -134,7 +134,7 @@
       self,
       request: messages.Request,
       body: bytes,
-      responder: front.Responder,
+      responder: http_server.Responder,
   ) -> None:
     """Answers one call, or misbehaves as `faults` says."""
     if self.faults.down == "silent":
@@ -253,7 +253,7 @@
 
   async def serve(self, port: int) -> None:
     """Serves on loopback until cancelled."""
-    served = front.Front(
+    served = http_server.HttpServer(
         internal.Dialect(),
         self.handle,
         lambda: configuration.DEFAULT_LIMITS,
--- a/mustardfall/gateway.py
+++ b/mustardfall/gateway.py
@@ -33,7 +33,7 @@
 from mustardfall.membership import verdicts as verdicts_lib
 from mustardfall.proxy import calls
 from mustardfall.proxy import forwarder as forwarder_lib
-from mustardfall.proxy import front
+from mustardfall.proxy import http_server
 from mustardfall.proxy import guard as guard_lib
 from mustardfall.proxy import internal
 from mustardfall.proxy import links as links_lib
@@ -63,7 +63,7 @@
   """Something served beside callers."""
 
   name: str
-  handle: front.Handler
+  handle: http_server.Handler
   host: str
   port: int
 
@@ -142,7 +142,7 @@
     )
     self._dialect = dialect
     self.stopping = False
-    self.front: front.Front | None = None
+    self.http_server: http_server.HttpServer | None = None
 
   async def _post(self, url: str, body: dict, timeout_s: float) -> dict:
     """Calls another router; see `peers.Post`."""
@@ -246,7 +246,7 @@
           self._placer,
           guard_lib.Guard(self.quarantine, self.verdicts, self.links),
       )
-      self.front = front.Front(
+      self.http_server = http_server.HttpServer(
           self._dialect,
           forwarder.handle,
           lambda: self.directory.limits,
@@ -256,7 +256,7 @@
       # Before the followers: once the configuration is known the balancer
       # is told to send callers, who must find the port open.
       listen = self.config.listen
-      await tasks.start(self.front.serve, listen.host, listen.port)
+      await tasks.start(self.http_server.serve, listen.host, listen.port)
       for loop in (
           *adapter_loops,
           *self.accounts.loops(),
@@ -277,7 +277,7 @@
       self._serve_internal(tasks, ready)
       logger.info("started", extra={"listen": listen.port})
       await stop.wait()
-      await self._stop(self.front, stop_s)
+      await self._stop(self.http_server, stop_s)
       tasks.cancel_scope.cancel()
 
   def _serve_internal(
@@ -303,7 +303,7 @@
       pages.append(_Page("metrics", text.handle, peer.host, metrics_port))
     room = room_lib.for_routers()
     for page in pages:
-      served = front.Front(
+      served = http_server.HttpServer(
           internal.Dialect(),
           page.handle,
           lambda: configuration.DEFAULT_LIMITS,
@@ -326,7 +326,7 @@
       await self.links.close_idle()
       last = now
 
-  async def _stop(self, served: front.Front, stop_s: float) -> None:
+  async def _stop(self, served: http_server.HttpServer, stop_s: float) -> None:
     """Finishes what is in flight and hands the budgets back."""
     ends = self.clock.monotonic() + stop_s
     self.stopping = True
--- a/mustardfall/proxy/admission.py
+++ b/mustardfall/proxy/admission.py
@@ -9,7 +9,7 @@
 from mustardfall import settings
 from mustardfall.budget import comeback
 from mustardfall.budget import reserving
-from mustardfall.proxy import front
+from mustardfall.proxy import http_server
 from mustardfall.proxy import job as job_lib
 from mustardfall.proxy import messages
 from mustardfall.proxy import records
@@ -60,7 +60,7 @@
       self,
       request: messages.Request,
       body: bytes,
-      responder: front.Responder,
+      responder: http_server.Responder,
   ) -> job_lib.Job:
     """Returns the request as one to serve; raises `RefusalError`."""
     arrived = self._clock.monotonic()
--- a/mustardfall/proxy/forwarder.py
+++ b/mustardfall/proxy/forwarder.py
@@ -19,7 +19,7 @@
 from mustardfall.membership import members as members_lib
 from mustardfall.proxy import admission as admission_lib
 from mustardfall.proxy import exchange as exchange_lib
-from mustardfall.proxy import front
+from mustardfall.proxy import http_server
 from mustardfall.proxy import guard as guard_lib
 from mustardfall.proxy import job as job_lib
 from mustardfall.proxy import links as links_lib
@@ -113,7 +113,7 @@
       self,
       request: messages.Request,
       body: bytes,
-      responder: front.Responder,
+      responder: http_server.Responder,
   ) -> None:
     """Answers one request; cancelled when its caller leaves."""
     try:
@@ -387,7 +387,7 @@
   async def _refuse(
       self,
       request: messages.Request,
-      responder: front.Responder,
+      responder: http_server.Responder,
       refusal: refusals.RefusalError,
       job: job_lib.Job | None = None,
   ) -> None:
--- a/mustardfall/proxy/front.py
+++ b/mustardfall/proxy/http_server.py
@@ -109,7 +109,7 @@
 Handler = Callable[[messages.Request, bytes, Responder], Awaitable[None]]
 
 
-class Front:
+class HttpServer:
   """Accepts callers' connections and hands their requests on.
 
   Args:
@@ -243,12 +243,12 @@
   """One caller's connection."""
 
   def __init__(
-      self, front: Front, stream: abc.SocketStream, held: room_lib.Holding
+      self, http_server: HttpServer, stream: abc.SocketStream, held: room_lib.Holding
   ) -> None:
-    self._front = front
+    self._front = http_server
     self._stream = stream
     self._held_idle = held
-    self._held = front.room.hold()
+    self._held = http_server.room.hold()
     """What the request being read or served holds."""
     self._parser = self._new_parser()
     self._raw = bytearray()
--- a/mustardfall/proxy/internal.py
+++ b/mustardfall/proxy/internal.py
@@ -11,7 +11,7 @@
 
 from mustardfall import accounts as accounts_lib
 from mustardfall.membership import peers
-from mustardfall.proxy import front
+from mustardfall.proxy import http_server
 from mustardfall.proxy import messages
 
 logger = logging.getLogger(__name__)
@@ -73,7 +73,7 @@
       self,
       request: messages.Request,
       body: bytes,
-      responder: front.Responder,
+      responder: http_server.Responder,
   ) -> None:
     """Answers one call."""
     endpoint = self._paths.get(request.path)
@@ -123,7 +123,7 @@
       self,
       request: messages.Request,
       body: bytes,
-      responder: front.Responder,
+      responder: http_server.Responder,
   ) -> None:
     """Answers 200 or 503."""
     del request, body
@@ -144,7 +144,7 @@
       self,
       request: messages.Request,
       body: bytes,
-      responder: front.Responder,
+      responder: http_server.Responder,
   ) -> None:
     """Answers with the text as it is now."""
     del request, body
--- a/mustardfall/proxy/job.py
+++ b/mustardfall/proxy/job.py
@@ -3,7 +3,7 @@
 import dataclasses
 
 from mustardfall.budget import allotment
-from mustardfall.proxy import front
+from mustardfall.proxy import http_server
 from mustardfall.proxy import messages
 from mustardfall.proxy import streams
 from mustardfall.routing import configuration
@@ -17,7 +17,7 @@
 
   request: messages.Request
   body: bytes
-  responder: front.Responder
+  responder: http_server.Responder
   route: configuration.Route
   service: configuration.Service
   team: configuration.Team | None
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -19,7 +19,7 @@
 
 from mustardfall.bench import fleet
 from mustardfall.budget import ledger
-from mustardfall.proxy import front
+from mustardfall.proxy import http_server
 from mustardfall.proxy import internal
 from mustardfall.routing import configuration
 from mustardfall.util import clock
@@ -390,7 +390,7 @@
       seen.append(request.path)
       await responder.answer(200, [], next(answers))
 
-    served = front.Front(
+    served = http_server.HttpServer(
         internal.Dialect(),
         _answer,
         lambda: configuration.DEFAULT_LIMITS,
