--- a/mustardfall/gateway.py
+++ b/mustardfall/gateway.py
@@ -31,7 +31,7 @@
 from mustardfall.membership import relay as relay_lib
 from mustardfall.membership import trackers as trackers_lib
 from mustardfall.membership import verdicts as verdicts_lib
-from mustardfall.proxy import calls
+from mustardfall.proxy import http_client
 from mustardfall.proxy import forwarder as forwarder_lib
 from mustardfall.proxy import http_server
 from mustardfall.proxy import guard as guard_lib
@@ -84,7 +84,7 @@
       config: settings.Router,
       clock: clock_lib.Clock,
       dialect: messages.Dialect,
-      make_store: Callable[[calls.Caller], protocol.Store],
+      make_store: Callable[[http_client.HttpClient], protocol.Store],
       store_headers: tuple[messages.Header, ...] = (),
   ) -> None:
     self.config = config
@@ -94,8 +94,8 @@
     self._room = room_lib.for_callers(config.limits)
     self.links = links_lib.Links(clock, self._room.most_connections)
     self.overhead = overhead_lib.Overhead(self.instruments)
-    self.kv = make_store(calls.Caller(self.links, self.overhead, store_headers))
-    self._peer_caller = calls.Caller(self.links, self.overhead)
+    self.kv = make_store(http_client.HttpClient(self.links, self.overhead, store_headers))
+    self._peer_caller = http_client.HttpClient(self.links, self.overhead)
     self.directory = directory_lib.Directory(
         config.scheduler, clock, config.first_start
     )
--- a/mustardfall/platform/store.py
+++ b/mustardfall/platform/store.py
@@ -13,7 +13,7 @@
 from mustardfall import errors
 from mustardfall.kv import contact
 from mustardfall.kv import protocol
-from mustardfall.proxy import calls as calls_lib
+from mustardfall.proxy import http_client as http_client_lib
 from mustardfall.util import clock as clock_lib
 
 logger = logging.getLogger(__name__)
@@ -113,7 +113,7 @@
   """
 
   def __init__(
-      self, address: str, caller: calls_lib.Caller, clock: clock_lib.Clock
+      self, address: str, caller: http_client_lib.HttpClient, clock: clock_lib.Clock
   ) -> None:
     self._address = address
     self._caller = caller
@@ -139,7 +139,7 @@
       body: dict[str, Any] | None = None,
       timeout_s: float = _CALL_S,
       eager: bool = False,
-  ) -> calls_lib.Reply:
+  ) -> http_client_lib.Response:
     """Makes one call.
 
     Args:
@@ -174,7 +174,7 @@
     return reply
 
   def _parse(
-      self, reply: calls_lib.Reply, target: str, model: type[_Model]
+      self, reply: http_client_lib.Response, target: str, model: type[_Model]
   ) -> _Model:
     """Decodes an answer; one that makes no sense says nothing."""
     if reply.status != _OK:
--- a/mustardfall/proxy/calls.py
+++ b/mustardfall/proxy/http_client.py
@@ -16,18 +16,18 @@
 """Part of a call's time that opening a connection may take."""
 _SILENCE_S = 0.45
 """An answer that has begun is given up after a pause of this length."""
-_MOST_TRANSFER_S = 4.0
+_MAX_TRANSFER_S = 4.0
 """Longest that the rest of an answer may take: 2.5 MB at 5 Mbit/s."""
 
 
-class Reply(NamedTuple):
+class Response(NamedTuple):
   """A call's answer."""
 
   status: int
   body: bytes
 
 
-class Caller:
+class HttpClient:
   """Makes calls over kept connections.
 
   Args:
@@ -54,7 +54,7 @@
       target: str,
       body: bytes,
       timeout_s: float,
-  ) -> Reply:
+  ) -> Response:
     """Returns the answer to one call.
 
     Args:
@@ -86,7 +86,7 @@
         answer = await exchange.start(_decode_answer, "")
         content = await _read_content(exchange, scope)
         size += len(content)
-        return Reply(answer.status, content)
+        return Response(answer.status, content)
     finally:
       self._overhead.note(overhead_lib.name_call(target), size)
       await exchange.close()
@@ -98,7 +98,7 @@
     exchange: exchange_lib.Exchange, scope: anyio.CancelScope
 ) -> bytes:
   """Returns an answer's body; moves the deadline on while bytes arrive."""
-  ends = anyio.current_time() + _MOST_TRANSFER_S
+  ends = anyio.current_time() + _MAX_TRANSFER_S
   content = bytearray()
   async for data in exchange.body():
     content += data
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -12,7 +12,7 @@
 from mustardfall.emulator import store as emulated
 from mustardfall.kv import protocol
 from mustardfall.platform import store as client_lib
-from mustardfall.proxy import calls
+from mustardfall.proxy import http_client
 from mustardfall.proxy import links
 from mustardfall.util import clock as clock_lib
 
@@ -25,7 +25,7 @@
       clock = clock_lib.SystemClock()
       server = emulated.Store(clock)
       port = fleet.free_port()
-      caller = calls.Caller(
+      caller = http_client.HttpClient(
           links.Links(clock), overhead.Overhead(metrics.Instruments("r"))
       )
       client = client_lib.Store(f"127.0.0.1:{port}", caller, clock)
--- a/tests/test_slow_links.py
+++ b/tests/test_slow_links.py
@@ -17,7 +17,7 @@
 from mustardfall import overhead
 from mustardfall.bench import fleet
 from mustardfall.platform import store as store_lib
-from mustardfall.proxy import calls
+from mustardfall.proxy import http_client
 from mustardfall.proxy import links as links_lib
 from mustardfall.util import clock as clock_lib
 from tests import platformcase
@@ -86,7 +86,7 @@
       slow, port = _SlowStore(), fleet.free_port()
       slow.stops_after = stops_after or slow.stops_after
       clock = clock_lib.SystemClock()
-      caller = calls.Caller(
+      caller = http_client.HttpClient(
           links_lib.Links(clock),
           overhead.Overhead(metrics.Instruments("r")),
       )
@@ -119,7 +119,7 @@
 
   def test_answer_that_drips_is_given_up(self):
     """Guards against a call that one byte after the other keeps for ever."""
-    with mock.patch.object(calls, "_MOST_TRANSFER_S", 0.3):
+    with mock.patch.object(http_client, "_MAX_TRANSFER_S", 0.3):
       self.assertTrue(self._read(_expect_failure))
 
 
