--- a/mustardfall/gateway.py
+++ b/mustardfall/gateway.py
@@ -31,12 +31,12 @@
 from mustardfall.membership import relay as relay_lib
 from mustardfall.membership import trackers as trackers_lib
 from mustardfall.membership import verdicts as verdicts_lib
-from mustardfall.proxy import http_client
+from mustardfall.proxy import connection_pool as connection_pool_lib
 from mustardfall.proxy import forwarder as forwarder_lib
-from mustardfall.proxy import http_server
 from mustardfall.proxy import guard as guard_lib
+from mustardfall.proxy import http_client
+from mustardfall.proxy import http_server
 from mustardfall.proxy import internal
-from mustardfall.proxy import links as links_lib
 from mustardfall.proxy import messages
 from mustardfall.proxy import placer as placer_lib
 from mustardfall.proxy import room as room_lib
@@ -92,10 +92,18 @@
     self.bus = events.Bus()
     self.instruments = metrics.Instruments(config.name)
     self._room = room_lib.for_callers(config.limits)
-    self.links = links_lib.Links(clock, self._room.most_connections)
+    self.connection_pool = connection_pool_lib.ConnectionPool(
+        clock, self._room.most_connections
+    )
     self.overhead = overhead_lib.Overhead(self.instruments)
-    self.kv = make_store(http_client.HttpClient(self.links, self.overhead, store_headers))
-    self._peer_caller = http_client.HttpClient(self.links, self.overhead)
+    self.kv = make_store(
+        http_client.HttpClient(
+            self.connection_pool, self.overhead, store_headers
+        )
+    )
+    self._peer_caller = http_client.HttpClient(
+        self.connection_pool, self.overhead
+    )
     self.directory = directory_lib.Directory(
         config.scheduler, clock, config.first_start
     )
@@ -208,7 +216,7 @@
     after = self._lives_by_address()
     for address, life in before.items():
       if after.get(address) != life:
-        await self.links.close_address(address)
+        await self.connection_pool.close_address(address)
 
   def _lives_by_address(self) -> dict[str, str]:
     return {row.url: row.life for row in self.directory.endpoints.rows.values()}
@@ -240,11 +248,11 @@
           self._dialect,
           self.directory,
           self.accounts,
-          self.links,
+          self.connection_pool,
           tasks,
           self.instruments,
           self._placer,
-          guard_lib.Guard(self.quarantine, self.verdicts, self.links),
+          guard_lib.Guard(self.quarantine, self.verdicts, self.connection_pool),
       )
       self.http_server = http_server.HttpServer(
           self._dialect,
@@ -323,7 +331,7 @@
       self.directory.endpoints.tick(now)
       self.loads.add_up(now)
       self.trackers.forget()
-      await self.links.close_idle()
+      await self.connection_pool.close_idle()
       last = now
 
   async def _stop(self, served: http_server.HttpServer, stop_s: float) -> None:
--- a/mustardfall/platform/store.py
+++ b/mustardfall/platform/store.py
@@ -113,7 +113,10 @@
   """
 
   def __init__(
-      self, address: str, caller: http_client_lib.HttpClient, clock: clock_lib.Clock
+      self,
+      address: str,
+      caller: http_client_lib.HttpClient,
+      clock: clock_lib.Clock,
   ) -> None:
     self._address = address
     self._caller = caller
--- a/mustardfall/proxy/links.py
+++ b/mustardfall/proxy/connection_pool.py
@@ -24,7 +24,7 @@
 
 
 @dataclasses.dataclass
-class Link:
+class Connection:
   """One connection, used by one request at a time."""
 
   address: str
@@ -41,7 +41,7 @@
       await anyio.aclose_forcefully(self.stream)
 
 
-class Links:
+class ConnectionPool:
   """Connections by address.
 
   Args:
@@ -52,14 +52,14 @@
   def __init__(self, clock: clock_lib.Clock, most: float = math.inf) -> None:
     self._clock = clock
     self._most = most
-    self._idle: dict[str, collections.deque[Link]] = {}
+    self._idle: dict[str, collections.deque[Connection]] = {}
     self.open: collections.Counter[str] = collections.Counter()
     """Connections per address, idle ones included."""
     self.opened = 0
 
   async def acquire(
       self, address: str, timeout_s: float, fresh: bool = False
-  ) -> Link:
+  ) -> Connection:
     """Returns a connection to `address` that is thought to be sound.
 
     Args:
@@ -70,14 +70,15 @@
     Raises:
       errors.EndpointUnreachableError: no connection could be made.
     """
-    while not fresh and (link := self._pop(address)) is not None:
-      if self._clock.monotonic() < link.idle_until and not sockets.is_readable(
-          link.stream
+    while not fresh and (connection := self._pop(address)) is not None:
+      if (
+          self._clock.monotonic() < connection.idle_until
+          and not sockets.is_readable(connection.stream)
       ):
-        return link
+        return connection
       # Closed by its server, past its time, or an answer that nobody
       # asked for is waiting on it: never to be used again.
-      await self.discard(link)
+      await self.discard(connection)
     await self._make_room()
     try:
       stream = await sockets.connect(address, timeout_s)
@@ -85,7 +86,7 @@
       raise errors.EndpointUnreachableError(f"{address}: {exc!r}") from exc
     self.open[address] += 1
     self.opened += 1
-    return Link(address, stream)
+    return Connection(address, stream)
 
   async def _make_room(self) -> None:
     """Closes idle connections while too many are open.
@@ -94,41 +95,41 @@
     """
     while self._idle and self.open.total() >= self._most:
       address = next(iter(self._idle))
-      link = self._pop(address)
-      if link is not None:
-        await self.discard(link)
+      connection = self._pop(address)
+      if connection is not None:
+        await self.discard(connection)
 
-  def _pop(self, address: str) -> Link | None:
+  def _pop(self, address: str) -> Connection | None:
     idle = self._idle.get(address)
     if not idle:
       return None
-    link = idle.pop()
+    connection = idle.pop()
     if not idle:
       del self._idle[address]
-    return link
+    return connection
 
-  async def release(self, link: Link, idle_s: float | None) -> None:
+  async def release(self, connection: Connection, idle_s: float | None) -> None:
     """Keeps a connection whose last answer ended cleanly."""
     keep_s = _IDLE_S if idle_s is None else idle_s - _IDLE_MARGIN_S
-    idle = self._idle.setdefault(link.address, collections.deque())
+    idle = self._idle.setdefault(connection.address, collections.deque())
     if keep_s <= 0 or len(idle) >= _IDLE_PER_ADDRESS:
-      await self.discard(link)
+      await self.discard(connection)
       return
-    link.used = True
-    link.idle_until = self._clock.monotonic() + keep_s
-    idle.append(link)
+    connection.used = True
+    connection.idle_until = self._clock.monotonic() + keep_s
+    idle.append(connection)
 
-  async def discard(self, link: Link) -> None:
+  async def discard(self, connection: Connection) -> None:
     """Closes a connection for good."""
-    self.open[link.address] -= 1
-    if not self.open[link.address]:
-      del self.open[link.address]
-    await link.close()
+    self.open[connection.address] -= 1
+    if not self.open[connection.address]:
+      del self.open[connection.address]
+    await connection.close()
 
   async def close_address(self, address: str) -> None:
     """Closes the idle connections to `address`."""
-    for link in self._idle.pop(address, ()):
-      await self.discard(link)
+    for connection in self._idle.pop(address, ()):
+      await self.discard(connection)
 
   async def close_idle(self) -> None:
     """Closes idle connections that are past their time."""
@@ -137,11 +138,11 @@
     # All are taken off before the first is closed: closing lets requests run,
     # which would take others of them meanwhile.
     for address, idle in list(self._idle.items()):
-      due += [link for link in idle if now >= link.idle_until]
-      kept = [link for link in idle if now < link.idle_until]
+      due += [connection for connection in idle if now >= connection.idle_until]
+      kept = [connection for connection in idle if now < connection.idle_until]
       if kept:
         self._idle[address] = collections.deque(kept)
       else:
         del self._idle[address]
-    for link in due:
-      await self.discard(link)
+    for connection in due:
+      await self.discard(connection)
--- a/mustardfall/proxy/exchange.py
+++ b/mustardfall/proxy/exchange.py
@@ -11,7 +11,7 @@
 import h11
 
 from mustardfall import errors
-from mustardfall.proxy import links as links_lib
+from mustardfall.proxy import connection_pool as connection_pool_lib
 from mustardfall.proxy import messages
 
 _READ_BYTES = 65_536
@@ -52,15 +52,15 @@
 
   def __init__(
       self,
-      links: links_lib.Links,
-      link: links_lib.Link,
+      connection_pool: connection_pool_lib.ConnectionPool,
+      connection: connection_pool_lib.Connection,
       method: bytes,
       target: bytes,
       headers: list[messages.Header],
       body: bytes,
   ) -> None:
-    self._links = links
-    self._link = link
+    self._connection_pool = connection_pool
+    self._connection = connection
     self._body = body
     length = [(b"content-length", b"%d" % len(body))]
     bodiless = not body and method in (b"GET", b"HEAD", b"DELETE")
@@ -134,7 +134,7 @@
 
   async def _send(self) -> None:
     try:
-      await self._link.stream.send(self._encode())
+      await self._connection.stream.send(self._encode())
       self._sent = True
     except (anyio.BrokenResourceError, anyio.ClosedResourceError, OSError):
       # The server may have answered before it closed; the reader tells.
@@ -145,7 +145,7 @@
       decode: Callable[[int, list[messages.Header]], messages.Answer],
       request_id: str,
   ) -> messages.Answer:
-    rest, self._link.rest = self._link.rest, b""
+    rest, self._connection.rest = self._connection.rest, b""
     if rest:
       self._parser.receive_data(rest)
     for _ in range(_MOST_STRANGERS):
@@ -184,7 +184,7 @@
         if event is not h11.NEED_DATA:
           return event
         try:
-          data = await self._link.stream.receive(_READ_BYTES)
+          data = await self._connection.stream.receive(_READ_BYTES)
         except anyio.EndOfStream:
           data = b""
         self.received = self.received or bool(data)
@@ -233,9 +233,9 @@
     """Gives the connection back, or closes it after any doubt."""
     with anyio.CancelScope(shield=True):
       if self._may_reuse():
-        await self._links.release(self._link, self._idle_s)
+        await self._connection_pool.release(self._connection, self._idle_s)
       else:
-        await self._links.discard(self._link)
+        await self._connection_pool.discard(self._connection)
 
   def _may_reuse(self) -> bool:
     if not self._clean or not self._sent or self._last_use:
--- a/mustardfall/proxy/forwarder.py
+++ b/mustardfall/proxy/forwarder.py
@@ -18,11 +18,11 @@
 from mustardfall import settings
 from mustardfall.membership import members as members_lib
 from mustardfall.proxy import admission as admission_lib
+from mustardfall.proxy import connection_pool as connection_pool_lib
 from mustardfall.proxy import exchange as exchange_lib
-from mustardfall.proxy import http_server
 from mustardfall.proxy import guard as guard_lib
+from mustardfall.proxy import http_server
 from mustardfall.proxy import job as job_lib
-from mustardfall.proxy import links as links_lib
 from mustardfall.proxy import messages
 from mustardfall.proxy import placer as placer_lib
 from mustardfall.proxy import records as records_lib
@@ -88,7 +88,7 @@
       dialect: messages.Dialect,
       directory: directory_lib.Directory,
       accounts: accounts_lib.Accounts,
-      links: links_lib.Links,
+      connection_pool: connection_pool_lib.ConnectionPool,
       tasks: abc.TaskGroup,
       instruments: metrics.Instruments,
       placer: placer_lib.Placer,
@@ -98,7 +98,7 @@
     self._clock = clock
     self._dialect = dialect
     self._directory = directory
-    self._links = links
+    self._connection_pool = connection_pool
     self._placer = placer
     self._guard = guard
     self._admission = admission_lib.Admission(
@@ -208,15 +208,17 @@
     job.tried.add(row.name)
     job.endpoint = row.name
     try:
-      link = await self._links.acquire(row.url, _CONNECT_S, fresh=job.sends > 0)
+      connection = await self._connection_pool.acquire(
+          row.url, _CONNECT_S, fresh=job.sends > 0
+      )
     except errors.EndpointUnreachableError as exc:
       job.connects += 1
       row.failures += 2
       self._placer.note_unreachable(row)
       raise _Again(str(exc)) from exc
     exchange = exchange_lib.Exchange(
-        self._links,
-        link,
+        self._connection_pool,
+        connection,
         job.request.method,
         job.request.target,
         self._dialect.encode_request(job.request, self._send_of(job, row)),
--- a/mustardfall/proxy/guard.py
+++ b/mustardfall/proxy/guard.py
@@ -4,8 +4,8 @@
 
 from mustardfall import errors
 from mustardfall.membership import verdicts as verdicts_lib
+from mustardfall.proxy import connection_pool as connection_pool_lib
 from mustardfall.proxy import job as job_lib
-from mustardfall.proxy import links as links_lib
 from mustardfall.proxy import refusals
 from mustardfall.routing import endpoints
 from mustardfall.routing import quarantine
@@ -31,11 +31,11 @@
       self,
       table: quarantine.Table,
       verdicts: verdicts_lib.Verdicts,
-      links: links_lib.Links,
+      connection_pool: connection_pool_lib.ConnectionPool,
   ) -> None:
     self._table = table
     self._verdicts = verdicts
-    self._links = links
+    self._connection_pool = connection_pool
 
   def check(self, job: job_lib.Job) -> None:
     """Refuses a quarantined request.
@@ -63,12 +63,14 @@
     loses packets, an answer is lost. Only one that listens no more has ended.
     """
     try:
-      link = await self._links.acquire(row.url, _CONNECT_S, fresh=True)
+      connection = await self._connection_pool.acquire(
+          row.url, _CONNECT_S, fresh=True
+      )
     except errors.EndpointUnreachableError as exc:
       if not sockets.is_refused(exc):
         return
     else:
-      await self._links.release(link, None)
+      await self._connection_pool.release(connection, None)
       return
     team = job.team.name if job.team else ""
     logger.info(
--- a/mustardfall/proxy/http_client.py
+++ b/mustardfall/proxy/http_client.py
@@ -6,8 +6,8 @@
 
 from mustardfall import errors
 from mustardfall import overhead as overhead_lib
+from mustardfall.proxy import connection_pool as connection_pool_lib
 from mustardfall.proxy import exchange as exchange_lib
-from mustardfall.proxy import links as links_lib
 from mustardfall.proxy import messages
 
 _MOST_BYTES = 4_194_304
@@ -38,11 +38,11 @@
 
   def __init__(
       self,
-      links: links_lib.Links,
+      connection_pool: connection_pool_lib.ConnectionPool,
       overhead: overhead_lib.Overhead,
       headers: tuple[messages.Header, ...] = (),
   ) -> None:
-    self._links = links
+    self._connection_pool = connection_pool
     self._overhead = overhead
     self._headers = headers
     self.calls = 0
@@ -72,14 +72,21 @@
     self.calls += 1
     size = len(body)
     deadline = anyio.current_time() + timeout_s
-    link = await self._links.acquire(address, timeout_s * _CONNECT_SHARE)
+    connection = await self._connection_pool.acquire(
+        address, timeout_s * _CONNECT_SHARE
+    )
     headers = [
         (b"host", address.encode()),
         (b"content-type", b"application/json"),
         *self._headers,
     ]
     exchange = exchange_lib.Exchange(
-        self._links, link, method.encode(), target.encode(), headers, body
+        self._connection_pool,
+        connection,
+        method.encode(),
+        target.encode(),
+        headers,
+        body,
     )
     try:
       with anyio.CancelScope(deadline=deadline) as scope:
--- a/mustardfall/proxy/http_server.py
+++ b/mustardfall/proxy/http_server.py
@@ -243,7 +243,10 @@
   """One caller's connection."""
 
   def __init__(
-      self, http_server: HttpServer, stream: abc.SocketStream, held: room_lib.Holding
+      self,
+      http_server: HttpServer,
+      stream: abc.SocketStream,
+      held: room_lib.Holding,
   ) -> None:
     self._front = http_server
     self._stream = stream
--- a/tests/test_slow_links.py
+++ b/tests/test_slow_links.py
@@ -17,8 +17,8 @@
 from mustardfall import overhead
 from mustardfall.bench import fleet
 from mustardfall.platform import store as store_lib
+from mustardfall.proxy import connection_pool as connection_pool_lib
 from mustardfall.proxy import http_client
-from mustardfall.proxy import links as links_lib
 from mustardfall.util import clock as clock_lib
 from tests import platformcase
 
@@ -87,7 +87,7 @@
       slow.stops_after = stops_after or slow.stops_after
       clock = clock_lib.SystemClock()
       caller = http_client.HttpClient(
-          links_lib.Links(clock),
+          connection_pool_lib.ConnectionPool(clock),
           overhead.Overhead(metrics.Instruments("r")),
       )
       store = store_lib.Store(f"127.0.0.1:{port}", caller, clock)
