--- a/mustardfall/platform/headers.py
+++ b/mustardfall/platform/headers.py
@@ -144,7 +144,7 @@
     if not found.get(_REQUEST_ID):
       raise errors.BadRequestError("no request id")
     deadline_ms = _number(found.get(_DEADLINE_MS), "deadline")
-    last_event = _number(found.get(_LAST_EVENT), "last event id")
+    last_event_id = _number(found.get(_LAST_EVENT), "last event id")
     path = target.decode("latin-1").partition("?")[0]
     return messages.Request(
         id=found[_REQUEST_ID].decode("latin-1"),
@@ -153,15 +153,15 @@
         authority=_authority(found.get(b"host", b"")),
         path=path,
         api_key=found.get(_API_KEY, b"").decode("latin-1"),
-        patience_s=None if deadline_ms is None else deadline_ms / 1000,
+        caller_timeout_s=None if deadline_ms is None else deadline_ms / 1000,
         usage=_usage(found.get(_USAGE)),
         parts=_parts(found.get(_PARTS)),
-        last_event=None if last_event is None else int(last_event),
+        last_event_id=None if last_event_id is None else int(last_event_id),
         headers=_passed_on(headers, _OURS),
     )
 
   def encode_request(
-      self, request: messages.Request, send: messages.Send
+      self, request: messages.Request, send: messages.ForwardingInfo
   ) -> list[messages.Header]:
     """Returns the headers to send to an endpoint."""
     left_ms = max(1, int(send.time_left_s * 1000))
@@ -174,27 +174,27 @@
       headers.append((_TEAM, send.team.encode()))
     if request.usage is not None:
       headers.append((_PRIORITY, b"%d" % min(9, max(0, send.priority))))
-    if send.last_event is not None:
-      headers.append((_LAST_EVENT, b"%d" % send.last_event))
+    if send.last_event_id is not None:
+      headers.append((_LAST_EVENT, b"%d" % send.last_event_id))
     return headers
 
-  def decode_answer(
+  def decode_response(
       self, status: int, headers: list[messages.Header]
-  ) -> messages.Answer:
+  ) -> messages.ResponseHead:
     """Returns the head of an endpoint's answer."""
     found = dict(headers)
     content = found.get(b"content-type", b"")
-    return messages.Answer(
+    return messages.ResponseHead(
         status=status,
         request_id=found.get(_REQUEST_ID, b"").decode("latin-1"),
         signed=_SIGNATURE in found,
         not_run=_NOT_RUN in found,
         misdirected=status == _MISDIRECTED,
-        encoded=b"content-encoding" in found,
-        events=content.startswith(b"text/event-stream"),
+        has_content_encoding=b"content-encoding" in found,
+        is_event_stream=content.startswith(b"text/event-stream"),
         load=_load(found.get(_LOAD)),
-        idle_s=_idle_s(found.get(b"keep-alive", b"")),
-        last_use=b"close" in _listed(headers),
+        idle_timeout_s=_idle_s(found.get(b"keep-alive", b"")),
+        closes_connection=b"close" in _listed(headers),
         headers=_passed_on(headers, frozenset((_LOAD,))),
     )
 
--- a/mustardfall/proxy/admission.py
+++ b/mustardfall/proxy/admission.py
@@ -79,8 +79,8 @@
         raise refusals.unknown_key(config.version)
     service = config.services[self._pick(route)]
     time_s = route.timeout.total_seconds()
-    if request.patience_s is not None:
-      time_s = min(time_s, request.patience_s)
+    if request.caller_timeout_s is not None:
+      time_s = min(time_s, request.caller_timeout_s)
     return job_lib.Job(
         request=request,
         body=body,
@@ -90,7 +90,7 @@
         team=team,
         arrived=arrived,
         deadline=arrived + time_s,
-        joiner=streams.Joiner(request.last_event),
+        joiner=streams.Joiner(request.last_event_id),
         fingerprint=quarantine.fingerprint(
             team.name if team else "", request.method, request.target, body
         ),
--- a/mustardfall/proxy/connection_pool.py
+++ b/mustardfall/proxy/connection_pool.py
@@ -108,9 +108,13 @@
       del self._idle[address]
     return connection
 
-  async def release(self, connection: Connection, idle_s: float | None) -> None:
+  async def release(
+      self, connection: Connection, idle_timeout_s: float | None
+  ) -> None:
     """Keeps a connection whose last answer ended cleanly."""
-    keep_s = _IDLE_S if idle_s is None else idle_s - _IDLE_MARGIN_S
+    keep_s = (
+        _IDLE_S if idle_timeout_s is None else idle_timeout_s - _IDLE_MARGIN_S
+    )
     idle = self._idle.setdefault(connection.address, collections.deque())
     if keep_s <= 0 or len(idle) >= _IDLE_PER_ADDRESS:
       await self.discard(connection)
--- a/mustardfall/proxy/exchange.py
+++ b/mustardfall/proxy/exchange.py
@@ -73,8 +73,8 @@
     self._sent = False
     self._clean = False
     """Whether the answer has been read to its very end."""
-    self._idle_s: float | None = None
-    self._last_use = False
+    self._idle_timeout_s: float | None = None
+    self._closes_connection = False
     self._length = 0
     """Bytes of the answer's body, if it says so."""
     self.received = False
@@ -100,9 +100,9 @@
 
   async def start(
       self,
-      decode: Callable[[int, list[messages.Header]], messages.Answer],
+      decode: Callable[[int, list[messages.Header]], messages.ResponseHead],
       request_id: str,
-  ) -> messages.Answer:
+  ) -> messages.ResponseHead:
     """Sends the request and returns the head of its answer.
 
     Answers that bear another request's id came late, where this one's
@@ -111,7 +111,7 @@
     Raises:
       errors.BrokenAnswerError: no answer; the request may have run.
     """
-    result: list[messages.Answer | errors.BrokenAnswerError] = []
+    result: list[messages.ResponseHead | errors.BrokenAnswerError] = []
 
     async def _read() -> None:
       try:
@@ -128,8 +128,8 @@
     found = result[0]
     if isinstance(found, errors.BrokenAnswerError):
       raise found
-    self._idle_s = found.idle_s
-    self._last_use = found.last_use
+    self._idle_timeout_s = found.idle_timeout_s
+    self._closes_connection = found.closes_connection
     return found
 
   async def _send(self) -> None:
@@ -142,9 +142,9 @@
 
   async def _read_head(
       self,
-      decode: Callable[[int, list[messages.Header]], messages.Answer],
+      decode: Callable[[int, list[messages.Header]], messages.ResponseHead],
       request_id: str,
-  ) -> messages.Answer:
+  ) -> messages.ResponseHead:
     rest, self._connection.rest = self._connection.rest, b""
     if rest:
       self._parser.receive_data(rest)
@@ -233,12 +233,14 @@
     """Gives the connection back, or closes it after any doubt."""
     with anyio.CancelScope(shield=True):
       if self._may_reuse():
-        await self._connection_pool.release(self._connection, self._idle_s)
+        await self._connection_pool.release(
+            self._connection, self._idle_timeout_s
+        )
       else:
         await self._connection_pool.discard(self._connection)
 
   def _may_reuse(self) -> bool:
-    if not self._clean or not self._sent or self._last_use:
+    if not self._clean or not self._sent or self._closes_connection:
       return False
     if self._parser.their_state is not h11.DONE:
       return False  # ended with the connection
--- a/mustardfall/proxy/forwarder.py
+++ b/mustardfall/proxy/forwarder.py
@@ -245,17 +245,19 @@
       visit.end(failed)
       await exchange.close()
 
-  def _send_of(self, job: job_lib.Job, row: endpoints.Row) -> messages.Send:
+  def _send_of(
+      self, job: job_lib.Job, row: endpoints.Row
+  ) -> messages.ForwardingInfo:
     team = job.team
     priority = job.route.priority
     if team is not None and team.priority is not None:
       priority = team.priority
-    return messages.Send(
+    return messages.ForwardingInfo(
         endpoint=row.name,
         team=team.name if team else "",
         time_left_s=job.deadline - self._clock.monotonic(),
         priority=priority,
-        last_event=job.joiner.last,
+        last_event_id=job.joiner.last,
     )
 
   async def _relay(
@@ -271,7 +273,7 @@
     try:
       with self._impatience(job, self._head_s(job)):
         answer = await exchange.start(
-            self._dialect.decode_answer, job.request.id
+            self._dialect.decode_response, job.request.id
         )
     except errors.BrokenAnswerError:
       # It may have failed at once, which says nothing of its speed.
@@ -292,9 +294,13 @@
         row.failures += 1
       await exchange.read_body(_MOST_BODY_BYTES)
       raise _Again(f"not run: {answer.status}")
-    if answer.encoded or not answer.signed or not answer.request_id:
+    if (
+        answer.has_content_encoding
+        or not answer.signed
+        or not answer.request_id
+    ):
       raise errors.BrokenAnswerError("not the endpoint's own answer")
-    if answer.events and answer.status == _OK:
+    if answer.is_event_stream and answer.status == _OK:
       await self._relay_events(job, exchange, answer)
     else:
       await self._relay_whole(job, row, exchange, answer)
@@ -304,7 +310,7 @@
       job: job_lib.Job,
       row: endpoints.Row,
       exchange: exchange_lib.Exchange,
-      answer: messages.Answer,
+      answer: messages.ResponseHead,
   ) -> None:
     body = await exchange.read_body(_MOST_BODY_BYTES, job.responder)
     self._guard.note_answered(job)
@@ -317,7 +323,7 @@
     await self._answer(job, answer, body)
 
   async def _answer(
-      self, job: job_lib.Job, answer: messages.Answer, body: bytes
+      self, job: job_lib.Job, answer: messages.ResponseHead, body: bytes
   ) -> None:
     job.first_at = self._clock.monotonic()
     job.answered_whole = answer.status < _FAILURES
@@ -328,7 +334,7 @@
       self,
       job: job_lib.Job,
       exchange: exchange_lib.Exchange,
-      answer: messages.Answer,
+      answer: messages.ResponseHead,
   ) -> None:
     splitter = streams.Splitter()
     try:
@@ -378,7 +384,7 @@
       raise errors.SilentEndpointError(f"silent for {limit_s:.2f} s")
 
   async def _pass_on(
-      self, job: job_lib.Job, answer: messages.Answer, data: bytes
+      self, job: job_lib.Job, answer: messages.ResponseHead, data: bytes
   ) -> None:
     if not job.responder.started:
       job.first_at = self._clock.monotonic()
--- a/mustardfall/proxy/http_client.py
+++ b/mustardfall/proxy/http_client.py
@@ -90,7 +90,7 @@
     )
     try:
       with anyio.CancelScope(deadline=deadline) as scope:
-        answer = await exchange.start(_decode_answer, "")
+        answer = await exchange.start(_decode_response, "")
         content = await _read_content(exchange, scope)
         size += len(content)
         return Response(answer.status, content)
@@ -116,22 +116,22 @@
   return bytes(content)
 
 
-def _decode_answer(
+def _decode_response(
     status: int, headers: list[messages.Header]
-) -> messages.Answer:
-  last_use = any(
+) -> messages.ResponseHead:
+  closes_connection = any(
       name == b"connection" and b"close" in value for name, value in headers
   )
-  return messages.Answer(
+  return messages.ResponseHead(
       status=status,
       request_id="",
       signed=False,
       not_run=False,
       misdirected=False,
-      encoded=False,
-      events=False,
+      has_content_encoding=False,
+      is_event_stream=False,
       load=None,
-      idle_s=None,
-      last_use=last_use,
+      idle_timeout_s=None,
+      closes_connection=closes_connection,
       headers=(),
   )
--- a/mustardfall/proxy/internal.py
+++ b/mustardfall/proxy/internal.py
@@ -34,10 +34,10 @@
         authority="",
         path=target.decode("latin-1").partition("?")[0],
         api_key="",
-        patience_s=None,
+        caller_timeout_s=None,
         usage=None,
         parts=(),
-        last_event=None,
+        last_event_id=None,
         headers=tuple(headers),
     )
 
--- a/mustardfall/proxy/job.py
+++ b/mustardfall/proxy/job.py
@@ -39,7 +39,7 @@
   endpoint: str = ""
   first_at: float | None = None
   """When the first event or the answer came."""
-  failure: tuple[messages.Answer, bytes] | None = None
+  failure: tuple[messages.ResponseHead, bytes] | None = None
   """An endpoint's own failure, passed on if no other try does better."""
 
   @property
--- a/mustardfall/proxy/messages.py
+++ b/mustardfall/proxy/messages.py
@@ -48,18 +48,18 @@
   authority: str
   path: str
   api_key: str
-  patience_s: float | None
+  caller_timeout_s: float | None
   """Seconds that the caller waits; None: it did not say."""
   usage: Usage | None
   """None: not a generation."""
   parts: tuple[PromptPart, ...]
-  last_event: int | None
+  last_event_id: int | None
   """The last event the caller has, when it resumes a stream."""
   headers: tuple[Header, ...]
   """What goes on to the endpoint as it is."""
 
 
-class Send(NamedTuple):
+class ForwardingInfo(NamedTuple):
   """What the router adds when it sends a request to an endpoint."""
 
   endpoint: str
@@ -67,7 +67,7 @@
   team: str
   time_left_s: float
   priority: int
-  last_event: int | None
+  last_event_id: int | None
 
 
 class Load(NamedTuple):
@@ -78,7 +78,7 @@
   slots: int
 
 
-class Answer(NamedTuple):
+class ResponseHead(NamedTuple):
   """The head of an endpoint's answer."""
 
   status: int
@@ -89,14 +89,14 @@
   """Whether the endpoint says that it did not run the request."""
   misdirected: bool
   """Whether another server than the one meant is at the address."""
-  encoded: bool
+  has_content_encoding: bool
   """Whether the body is encoded, which no endpoint of ours does."""
-  events: bool
+  is_event_stream: bool
   """Whether the body is a stream of events."""
   load: Load | None
-  idle_s: float | None
+  idle_timeout_s: float | None
   """Seconds that the endpoint keeps an idle connection, if it says."""
-  last_use: bool
+  closes_connection: bool
   """Whether the connection closes after this answer."""
   headers: tuple[Header, ...]
   """What goes on to the caller as it is."""
@@ -114,10 +114,12 @@
       errors.BadRequestError: a header is missing or makes no sense.
     """
 
-  def encode_request(self, request: Request, send: Send) -> list[Header]:
+  def encode_request(
+      self, request: Request, send: ForwardingInfo
+  ) -> list[Header]:
     """Returns the headers to send to an endpoint."""
 
-  def decode_answer(self, status: int, headers: list[Header]) -> Answer:
+  def decode_response(self, status: int, headers: list[Header]) -> ResponseHead:
     """Returns the head of an endpoint's answer."""
 
   def encode_refusal(
