--- a/mustardfall/emulator/store.py
+++ b/mustardfall/emulator/store.py
@@ -142,11 +142,11 @@
     if self.faults.down == "reset":
       raise anyio.BrokenResourceError
     if self.faults.down == "nonsense":
-      await responder.answer(200, [], next(self._nonsense))
+      await responder.respond(200, [], next(self._nonsense))
       return
     host = dict(request.headers).get(HOST_HEADER, b"").decode()
     if self.faults.down == "busy" or host in self.faults.refused:
-      await responder.answer(503, [])
+      await responder.respond(503, [])
       return
     self._expire()
     query = request.target.decode().partition("?")[2]
@@ -159,7 +159,7 @@
     status, answer = await self._answer(
         path if lease else request.path, fields, data, lease
     )
-    await responder.answer(status, [], json.dumps(answer).encode())
+    await responder.respond(status, [], json.dumps(answer).encode())
 
   async def _lose(self, data: dict[str, Any]) -> None:
     self.faults.lose_answers -= 1
--- a/mustardfall/proxy/forwarder.py
+++ b/mustardfall/proxy/forwarder.py
@@ -327,7 +327,7 @@
   ) -> None:
     job.first_at = self._clock.monotonic()
     job.answered_whole = answer.status < _FAILURES
-    await job.responder.answer(answer.status, list(answer.headers), body)
+    await job.responder.respond(answer.status, list(answer.headers), body)
     self._records.note_end(job, "answered", answer.status)
 
   async def _relay_events(
@@ -404,4 +404,4 @@
       return  # cut off: what was passed on must not look complete
     headers = self._dialect.encode_refusal(request.id, refusal.retry_after_s)
     body = refusal.reason.encode()
-    await responder.answer(refusal.status, headers, body)
+    await responder.respond(refusal.status, headers, body)
--- a/mustardfall/proxy/http_server.py
+++ b/mustardfall/proxy/http_server.py
@@ -71,7 +71,7 @@
     """
     return await self._session.hold_whole_answer(size)
 
-  async def answer(
+  async def respond(
       self, status: int, headers: list[messages.Header], body: bytes = b""
   ) -> None:
     """Sends a whole answer."""
@@ -315,7 +315,7 @@
     )
     headers = self._front.dialect.encode_refusal("", exc.retry_after_s)
     if self._parser.our_state in (h11.IDLE, h11.SEND_RESPONSE):
-      await responder.answer(exc.status, headers, str(exc).encode())
+      await responder.respond(exc.status, headers, str(exc).encode())
 
   async def _read_head(self) -> h11.Request | None:
     """Returns the next request's head; None when there is none."""
--- a/mustardfall/proxy/internal.py
+++ b/mustardfall/proxy/internal.py
@@ -78,7 +78,7 @@
     """Answers one call."""
     endpoint = self._paths.get(request.path)
     if endpoint is None:
-      await responder.answer(404, [])
+      await responder.respond(404, [])
       return
     try:
       answer = await endpoint(json.loads(body or b"{}"))
@@ -87,9 +87,9 @@
           "peer call malformed",
           extra={"path": request.path, "error": repr(exc)},
       )
-      await responder.answer(400, [])
+      await responder.respond(400, [])
       return
-    await responder.answer(200, [], json.dumps(answer).encode())
+    await responder.respond(200, [], json.dumps(answer).encode())
 
   async def _reserve(self, body: dict[str, Any]) -> dict[str, Any]:
     handed = await self._accounts.pool.owner.serve_ask(peers.Ask(**body))
@@ -127,7 +127,7 @@
   ) -> None:
     """Answers 200 or 503."""
     del request, body
-    await responder.answer(200 if self._is_ready() else 503, [])
+    await responder.respond(200 if self._is_ready() else 503, [])
 
 
 class TextHandler:
@@ -149,4 +149,4 @@
     """Answers with the text as it is now."""
     del request, body
     plain = (b"content-type", b"text/plain; version=0.0.4")
-    await responder.answer(200, [plain], self._render().encode())
+    await responder.respond(200, [plain], self._render().encode())
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -388,7 +388,7 @@
     async def _answer(request, body, responder):
       del body
       seen.append(request.path)
-      await responder.answer(200, [], next(answers))
+      await responder.respond(200, [], next(answers))
 
     served = http_server.HttpServer(
         internal.Dialect(),
