--- a/mustardfall/platform/headers.py
+++ b/mustardfall/platform/headers.py
@@ -144,7 +144,7 @@
     if not found.get(_REQUEST_ID):
       raise errors.BadRequestError("no request id")
     deadline_ms = _number(found.get(_DEADLINE_MS), "deadline")
-    last_event_id = _number(found.get(_LAST_EVENT), "last event id")
+    last_event = _number(found.get(_LAST_EVENT), "last event id")
     path = target.decode("latin-1").partition("?")[0]
     return messages.Request(
         id=found[_REQUEST_ID].decode("latin-1"),
@@ -156,7 +156,7 @@
         caller_timeout_s=None if deadline_ms is None else deadline_ms / 1000,
         usage=_usage(found.get(_USAGE)),
         parts=_parts(found.get(_PARTS)),
-        last_event_id=None if last_event_id is None else int(last_event_id),
+        last_event=None if last_event_id is None else int(last_event_id),
         headers=_passed_on(headers, _OURS),
     )
 
@@ -174,8 +174,8 @@
       headers.append((_TEAM, send.team.encode()))
     if request.usage is not None:
       headers.append((_PRIORITY, b"%d" % min(9, max(0, send.priority))))
-    if send.last_event_id is not None:
-      headers.append((_LAST_EVENT, b"%d" % send.last_event_id))
+    if send.last_event is not None:
+      headers.append((_LAST_EVENT, b"%d" % send.last_event))
     return headers
 
   def decode_response(
--- a/mustardfall/proxy/admission.py
+++ b/mustardfall/proxy/admission.py
@@ -90,7 +90,7 @@
         team=team,
         arrived=arrived,
         deadline=arrived + time_s,
-        joiner=streams.Joiner(request.last_event_id),
+        joiner=streams.Joiner(request.last_event),
         fingerprint=quarantine.fingerprint(
             team.name if team else "", request.method, request.target, body
         ),
--- a/mustardfall/proxy/forwarder.py
+++ b/mustardfall/proxy/forwarder.py
@@ -257,7 +257,7 @@
         team=team.name if team else "",
         time_left_s=job.deadline - self._clock.monotonic(),
         priority=priority,
-        last_event_id=job.joiner.last,
+        last_event=job.joiner.last,
     )
 
   async def _relay(
--- a/mustardfall/proxy/internal.py
+++ b/mustardfall/proxy/internal.py
@@ -37,7 +37,7 @@
         caller_timeout_s=None,
         usage=None,
         parts=(),
-        last_event_id=None,
+        last_event=None,
         headers=tuple(headers),
     )
 
--- a/mustardfall/proxy/messages.py
+++ b/mustardfall/proxy/messages.py
@@ -53,7 +53,7 @@
   usage: Usage | None
   """None: not a generation."""
   parts: tuple[PromptPart, ...]
-  last_event_id: int | None
+  last_event: int | None
   """The last event the caller has, when it resumes a stream."""
   headers: tuple[Header, ...]
   """What goes on to the endpoint as it is."""
@@ -67,7 +67,7 @@
   team: str
   time_left_s: float
   priority: int
-  last_event_id: int | None
+  last_event: int | None
 
 
 class Load(NamedTuple):
--- a/tests/test_platform_headers.py
+++ b/tests/test_platform_headers.py
@@ -32,7 +32,7 @@
     self.assertEqual(1.5, request.caller_timeout_s)
     self.assertEqual(messages.Usage(1460, 80), request.usage)
     self.assertEqual([("5c1e", 800), ("91bd", 410)], list(request.parts))
-    self.assertEqual(("key", 12), (request.api_key, request.last_event_id))
+    self.assertEqual(("key", 12), (request.api_key, request.last_event))
 
   def test_headers_of_one_connection_stay_there(self):
     request = _decode(
