--- a/mustardfall/gateway.py
+++ b/mustardfall/gateway.py
@@ -32,14 +32,14 @@
 from mustardfall.membership import trackers as trackers_lib
 from mustardfall.membership import verdicts as verdicts_lib
 from mustardfall.proxy import connection_pool as connection_pool_lib
+from mustardfall.proxy import crash_guard as crash_guard_lib
+from mustardfall.proxy import endpoint_selector as endpoint_selector_lib
 from mustardfall.proxy import forwarder as forwarder_lib
-from mustardfall.proxy import guard as guard_lib
 from mustardfall.proxy import http_client
 from mustardfall.proxy import http_server
 from mustardfall.proxy import internal
 from mustardfall.proxy import messages
-from mustardfall.proxy import placer as placer_lib
-from mustardfall.proxy import room as room_lib
+from mustardfall.proxy import resource_limiter as resource_limiter_lib
 from mustardfall.routing import configuration
 from mustardfall.routing import directory as directory_lib
 from mustardfall.routing import endpoints
@@ -49,17 +49,17 @@
 
 logger = logging.getLogger(__name__)
 
-_RELEASE_S = 3.0
+_DRAIN_DELAY_S = 3.0
 """After SIGTERM, callers' idle connections are kept this long: the balancer
 asks every second and takes a host out after two misses, and whoever uses
 the connection meanwhile is told that it closes."""
-_HAND_BACK_SHARE = 0.095
+_BUDGET_RETURN_SHARE = 0.095
 """Kept of the time to stop for handing the budgets back: 0.7 s of 8 s, many
 times what the store takes when it answers. A stream that is cut for more is
 worse than tokens handed back late: the next life gives them back."""
 
 
-class _Page(NamedTuple):
+class _InternalService(NamedTuple):
   """Something served beside callers."""
 
   name: str
@@ -91,9 +91,11 @@
     self.clock = clock
     self.bus = events.Bus()
     self.instruments = metrics.Instruments(config.name)
-    self._room = room_lib.for_callers(config.limits)
+    self._resource_limiter = resource_limiter_lib.new_caller_limiter(
+        config.limits
+    )
     self.connection_pool = connection_pool_lib.ConnectionPool(
-        clock, self._room.most_connections
+        clock, self._resource_limiter.max_connections
     )
     self.overhead = overhead_lib.Overhead(self.instruments)
     self.kv = make_store(
@@ -101,7 +103,7 @@
             self.connection_pool, self.overhead, store_headers
         )
     )
-    self._peer_caller = http_client.HttpClient(
+    self._peer_client = http_client.HttpClient(
         self.connection_pool, self.overhead
     )
     self.directory = directory_lib.Directory(
@@ -112,7 +114,7 @@
         clock,
         self.kv,
         self.bus,
-        self._post,
+        self._call_peer,
         lambda customer: policy.CONFIGURED,
         self._limit_of,
         budgets=self._budgets,
@@ -129,7 +131,7 @@
     self.trackers = trackers_lib.Trackers(
         self.accounts.members, self.datagrams, clock
     )
-    self._placer = placer_lib.Placer(
+    self._endpoint_selector = endpoint_selector_lib.EndpointSelector(
         config, self.directory, self.load_share, self.trackers
     )
     self.copies = copies_lib.Copies(clock)
@@ -146,17 +148,17 @@
         clock,
     )
     self.relay = relay_lib.Relay(
-        self.accounts.members, self._post, self.copies, clock
+        self.accounts.members, self._call_peer, self.copies, clock
     )
     self._dialect = dialect
     self.stopping = False
     self.http_server: http_server.HttpServer | None = None
 
-  async def _post(self, url: str, body: dict, timeout_s: float) -> dict:
+  async def _call_peer(self, url: str, body: dict, timeout_s: float) -> dict:
     """Calls another router; see `peers.Post`."""
     address, _, path = url.removeprefix("http://").partition("/")
     try:
-      reply = await self._peer_caller.call(
+      reply = await self._peer_client.call(
           address, "POST", f"/{path}", json.dumps(body).encode(), timeout_s
       )
       if reply.status != 200:  # noqa: PLR2004
@@ -251,15 +253,17 @@
           self.connection_pool,
           tasks,
           self.instruments,
-          self._placer,
-          guard_lib.Guard(self.quarantine, self.verdicts, self.connection_pool),
+          self._endpoint_selector,
+          crash_guard_lib.CrashGuard(
+              self.quarantine, self.verdicts, self.connection_pool
+          ),
       )
       self.http_server = http_server.HttpServer(
           self._dialect,
           forwarder.handle,
           lambda: self.directory.limits,
           self.clock,
-          room=self._room,
+          resource_limiter=self._resource_limiter,
       )
       # Before the followers: once the configuration is known the balancer
       # is told to send callers, who must find the port open.
@@ -272,7 +276,7 @@
           self.load_share.run,
           self.verdicts.run,
           self.overhead.run,
-          self._run_systems,
+          self._run_periodic_tasks,
       ):
         tasks.start_soon(
             accounts_lib.supervise,
@@ -293,35 +297,41 @@
   ) -> None:
     """Serves other routers, the balancer's question and the metrics."""
     peer = self.config.peer_listen
-    handler = internal.Handler(
+    peer_handler = internal.PeerHandler(
         self.accounts,
         {
             relay_lib.PATH: self.relay.serve,
             clockcheck.PATH: self.accounts.clock_check.serve,
         },
     )
-    ready_handler = internal.ReadyHandler(lambda: self.ready)
-    pages = [
-        _Page("routers", handler.handle, peer.host, peer.port),
-        _Page("readiness", ready_handler.handle, ready.host, ready.port),
+    readiness_handler = internal.ReadyHandler(lambda: self.ready)
+    services = [
+        _InternalService("routers", peer_handler.handle, peer.host, peer.port),
+        _InternalService(
+            "readiness", readiness_handler.handle, ready.host, ready.port
+        ),
     ]
     if self.config.proxy.metrics_port:
-      text = internal.TextHandler(self.instruments.render)
+      metrics_handler = internal.TextHandler(self.instruments.render)
       metrics_port = self.config.proxy.metrics_port
-      pages.append(_Page("metrics", text.handle, peer.host, metrics_port))
-    room = room_lib.for_routers()
-    for page in pages:
-      served = http_server.HttpServer(
+      services.append(
+          _InternalService(
+              "metrics", metrics_handler.handle, peer.host, metrics_port
+          )
+      )
+    resource_limiter = resource_limiter_lib.new_internal_limiter()
+    for service in services:
+      server = http_server.HttpServer(
           internal.Dialect(),
-          page.handle,
+          service.handle,
           lambda: configuration.DEFAULT_LIMITS,
           self.clock,
-          page.name,
-          room,
+          service.name,
+          resource_limiter,
       )
-      tasks.start_soon(served.serve, page.host, page.port)
+      tasks.start_soon(server.serve, service.host, service.port)
 
-  async def _run_systems(self) -> None:
+  async def _run_periodic_tasks(self) -> None:
     """Runs the systems over the tables each tick."""
     last = self.clock.monotonic()
     while True:
@@ -334,26 +344,26 @@
       await self.connection_pool.close_idle()
       last = now
 
-  async def _stop(self, served: http_server.HttpServer, stop_s: float) -> None:
+  async def _stop(self, server: http_server.HttpServer, stop_s: float) -> None:
     """Finishes what is in flight and hands the budgets back."""
-    ends = self.clock.monotonic() + stop_s
+    stops_at = self.clock.monotonic() + stop_s
     self.stopping = True
-    logger.info("stopping", extra={"in_flight": served.in_flight})
-    await anyio.sleep(min(_RELEASE_S, stop_s / 2))
-    served.stop_idle()
-    hand_back_s = stop_s * _HAND_BACK_SHARE
-    left_s = ends - self.clock.monotonic() - hand_back_s
-    finished = await served.finish(max(0.0, left_s))
-    with anyio.move_on_after(max(0.1, ends - self.clock.monotonic())):
+    logger.info("stopping", extra={"in_flight": server.in_flight})
+    await anyio.sleep(min(_DRAIN_DELAY_S, stop_s / 2))
+    server.start_draining()
+    budget_return_s = stop_s * _BUDGET_RETURN_SHARE
+    remaining_s = stops_at - self.clock.monotonic() - budget_return_s
+    drained = await server.wait_until_drained(max(0.0, remaining_s))
+    with anyio.move_on_after(max(0.1, stops_at - self.clock.monotonic())):
       try:
         await self.accounts.hand_back()
       except Exception:  # noqa: BLE001  the next life gives it back
         logger.exception("budgets not handed back")
-      await self.accounts.writer.flush(hand_back_s)
+      await self.accounts.writer.flush(budget_return_s)
     logger.info(
         "stopped",
         extra={
-            "finished": finished,
+            "finished": drained,
             "unwritten": self.accounts.writer.backlog,
         },
     )
--- a/mustardfall/platform/headers.py
+++ b/mustardfall/platform/headers.py
@@ -156,7 +156,7 @@
         caller_timeout_s=None if deadline_ms is None else deadline_ms / 1000,
         usage=_usage(found.get(_USAGE)),
         parts=_parts(found.get(_PARTS)),
-        last_event=None if last_event_id is None else int(last_event_id),
+        last_event=None if last_event is None else int(last_event),
         headers=_passed_on(headers, _OURS),
     )
 
--- a/mustardfall/proxy/admission.py
+++ b/mustardfall/proxy/admission.py
@@ -10,17 +10,17 @@
 from mustardfall.budget import comeback
 from mustardfall.budget import reserving
 from mustardfall.proxy import http_server
-from mustardfall.proxy import job as job_lib
 from mustardfall.proxy import messages
-from mustardfall.proxy import records
 from mustardfall.proxy import refusals
+from mustardfall.proxy import request_context as request_context_lib
+from mustardfall.proxy import request_log
 from mustardfall.proxy import streams
 from mustardfall.routing import configuration
 from mustardfall.routing import directory as directory_lib
 from mustardfall.routing import quarantine
 from mustardfall.util import clock as clock_lib
 
-_CURRENT_S = 2.0
+_MAX_UNCONFIRMED_S = 2.0
 """A configuration that was not confirmed for longer denies nothing for good: a
 route or key may have been added meanwhile."""
 
@@ -61,82 +61,90 @@
       request: messages.Request,
       body: bytes,
       responder: http_server.Responder,
-  ) -> job_lib.Job:
+  ) -> request_context_lib.RequestContext:
     """Returns the request as one to serve; raises `RefusalError`."""
-    arrived = self._clock.monotonic()
+    arrived_at = self._clock.monotonic()
     config = self._directory.configuration
     if config is None:
-      raise refusals.unknown_configuration()
+      raise refusals.no_configuration()
     route = config.match(request.authority, request.path)
     if route is None:
-      self._check_current(config.version)
+      self._require_current_configuration(config.version)
       raise refusals.no_route(config.version)
     team = None
     if not route.public:
       team = config.team_of(request.api_key)
       if team is None:
-        self._check_current(config.version)
+        self._require_current_configuration(config.version)
         raise refusals.unknown_key(config.version)
-    service = config.services[self._pick(route)]
-    time_s = route.timeout.total_seconds()
+    service = config.services[self._choose_service(route)]
+    timeout_s = route.timeout.total_seconds()
     if request.caller_timeout_s is not None:
-      time_s = min(time_s, request.caller_timeout_s)
-    return job_lib.Job(
+      timeout_s = min(timeout_s, request.caller_timeout_s)
+    return request_context_lib.RequestContext(
         request=request,
         body=body,
         responder=responder,
         route=route,
         service=service,
         team=team,
-        arrived=arrived,
-        deadline=arrived + time_s,
-        joiner=streams.Joiner(request.last_event),
+        arrived_at=arrived_at,
+        deadline=arrived_at + timeout_s,
+        sequencer=streams.EventSequencer(request.last_event),
         fingerprint=quarantine.fingerprint(
             team.name if team else "", request.method, request.target, body
         ),
     )
 
-  def _check_current(self, version: int) -> None:
+  def _require_current_configuration(self, version: int) -> None:
     """Refuses for now what a newer configuration may allow."""
     age_s = self._directory.unconfirmed_s
-    if age_s > _CURRENT_S:
-      retry_after_s = self.retry_after(_CURRENT_S)
-      raise refusals.unsure_configuration(version, age_s, retry_after_s)
+    if age_s > _MAX_UNCONFIRMED_S:
+      retry_after_s = self.retry_after(_MAX_UNCONFIRMED_S)
+      raise refusals.stale_configuration(version, age_s, retry_after_s)
 
-  def _pick(self, route: configuration.Route) -> str:
+  def _choose_service(self, route: configuration.Route) -> str:
     if len(route.split) == 1:
       return route.split[0].service
     weights = [share.weight for share in route.split]
     return self._random.choices(route.split, weights)[0].service
 
-  async def reserve(self, job: job_lib.Job) -> None:
+  async def reserve(self, context: request_context_lib.RequestContext) -> None:
     """Sets the most that the request can use aside from its budget."""
-    usage = job.request.usage
-    if usage is None or job.team is None or job.team.prepaid is None:
+    usage = context.request.usage
+    if usage is None or context.team is None or context.team.prepaid is None:
       return
-    budget = job.team.name
-    began = self._clock.monotonic()
-    job.reservation = await self._reserver.reserve(budget, usage.most)
-    job.reserved_after_s = self._clock.monotonic() - began
-    if job.reservation is not None:
+    budget = context.team.name
+    started_at = self._clock.monotonic()
+    context.reservation = await self._reserver.reserve(budget, usage.max_tokens)
+    context.reserve_wait_s = self._clock.monotonic() - started_at
+    if context.reservation is not None:
       return
     known = self._accounts.pool.known
     where = known.whereabouts(budget)
-    if known.is_exhausted(budget, usage.most):
-      raise refusals.exhausted(where)
-    raise refusals.no_tokens(where, self._tokens_back_s(job))
+    if known.is_exhausted(budget, usage.max_tokens):
+      raise refusals.budget_exhausted(where)
+    raise refusals.tokens_unavailable(
+        where, self._tokens_retry_after_s(context)
+    )
 
-  def _tokens_back_s(self, job: job_lib.Job) -> float:
+  def _tokens_retry_after_s(
+      self, context: request_context_lib.RequestContext
+  ) -> float:
     """Returns when it may be worth to ask for tokens again."""
-    left_s = job.deadline - self._clock.monotonic()
-    return self.retry_after(comeback.most_s(self._accounts.store_away, left_s))
+    remaining_s = context.deadline - self._clock.monotonic()
+    return self.retry_after(
+        comeback.most_s(self._accounts.store_away, remaining_s)
+    )
 
-  def bill(self, job: job_lib.Job) -> None:
+  def bill(self, context: request_context_lib.RequestContext) -> None:
     """Settles the reservation with what the request used."""
-    if job.reservation is None:
+    if context.reservation is None:
       return
-    self._accounts.pool.settle(job.reservation, job.used)
-    self._instruments.tokens.record(job.used, records.attributes(job))
+    self._accounts.pool.settle(context.reservation, context.used_tokens)
+    self._instruments.tokens.record(
+        context.used_tokens, request_log.metric_attributes(context)
+    )
 
   def retry_after(self, most_s: float) -> float:
     """Returns when to come back: spread, so that not all come at once."""
--- a/mustardfall/proxy/connection_pool.py
+++ b/mustardfall/proxy/connection_pool.py
@@ -11,14 +11,14 @@
 from mustardfall.util import clock as clock_lib
 from mustardfall.util import sockets
 
-_IDLE_S = 4.0
+_DEFAULT_IDLE_TIMEOUT_S = 4.0
 """How long an idle connection is kept when its server names no time.
 Servers close idle ones after several seconds; a request that crosses such
 a close may have run, as far as the sender can tell."""
 _IDLE_MARGIN_S = 1.0
 """Kept this much shorter than the server says: it says whole seconds, and
 the request takes time to arrive."""
-_IDLE_PER_ADDRESS = 8
+_MAX_IDLE_PER_ADDRESS = 8
 """Idle connections kept per address; a router seldom has more requests
 than this at one endpoint, and each costs memory on both sides."""
 
@@ -49,28 +49,30 @@
     most: connections open at a time, idle ones included.
   """
 
-  def __init__(self, clock: clock_lib.Clock, most: float = math.inf) -> None:
+  def __init__(
+      self, clock: clock_lib.Clock, max_open: float = math.inf
+  ) -> None:
     self._clock = clock
-    self._most = most
+    self._max_open = max_open
     self._idle: dict[str, collections.deque[Connection]] = {}
     self.open: collections.Counter[str] = collections.Counter()
     """Connections per address, idle ones included."""
     self.opened = 0
 
   async def acquire(
-      self, address: str, timeout_s: float, fresh: bool = False
+      self, address: str, timeout_s: float, force_new: bool = False
   ) -> Connection:
     """Returns a connection to `address` that is thought to be sound.
 
     Args:
       address: `HOST:PORT`.
       timeout_s: how long a new connection may take, seconds.
-      fresh: open a new one even if an idle one is there.
+      force_new: open a new one even if an idle one is there.
 
     Raises:
       errors.EndpointUnreachableError: no connection could be made.
     """
-    while not fresh and (connection := self._pop(address)) is not None:
+    while not force_new and (connection := self._pop(address)) is not None:
       if (
           self._clock.monotonic() < connection.idle_until
           and not sockets.is_readable(connection.stream)
@@ -79,7 +81,7 @@
       # Closed by its server, past its time, or an answer that nobody
       # asked for is waiting on it: never to be used again.
       await self.discard(connection)
-    await self._make_room()
+    await self._evict_idle()
     try:
       stream = await sockets.connect(address, timeout_s)
     except OSError as exc:
@@ -88,12 +90,12 @@
     self.opened += 1
     return Connection(address, stream)
 
-  async def _make_room(self) -> None:
+  async def _evict_idle(self) -> None:
     """Closes idle connections while too many are open.
 
     Those at work are as many as the requests, which are bounded elsewhere.
     """
-    while self._idle and self.open.total() >= self._most:
+    while self._idle and self.open.total() >= self._max_open:
       address = next(iter(self._idle))
       connection = self._pop(address)
       if connection is not None:
@@ -113,10 +115,12 @@
   ) -> None:
     """Keeps a connection whose last answer ended cleanly."""
     keep_s = (
-        _IDLE_S if idle_timeout_s is None else idle_timeout_s - _IDLE_MARGIN_S
+        _DEFAULT_IDLE_TIMEOUT_S
+        if idle_timeout_s is None
+        else idle_timeout_s - _IDLE_MARGIN_S
     )
     idle = self._idle.setdefault(connection.address, collections.deque())
-    if keep_s <= 0 or len(idle) >= _IDLE_PER_ADDRESS:
+    if keep_s <= 0 or len(idle) >= _MAX_IDLE_PER_ADDRESS:
       await self.discard(connection)
       return
     connection.used = True
@@ -138,15 +142,17 @@
   async def close_idle(self) -> None:
     """Closes idle connections that are past their time."""
     now = self._clock.monotonic()
-    due = []
+    expired = []
     # All are taken off before the first is closed: closing lets requests run,
     # which would take others of them meanwhile.
     for address, idle in list(self._idle.items()):
-      due += [connection for connection in idle if now >= connection.idle_until]
+      expired += [
+          connection for connection in idle if now >= connection.idle_until
+      ]
       kept = [connection for connection in idle if now < connection.idle_until]
       if kept:
         self._idle[address] = collections.deque(kept)
       else:
         del self._idle[address]
-    for connection in due:
+    for connection in expired:
       await self.discard(connection)
--- a/mustardfall/proxy/guard.py
+++ b/mustardfall/proxy/crash_guard.py
@@ -5,8 +5,8 @@
 from mustardfall import errors
 from mustardfall.membership import verdicts as verdicts_lib
 from mustardfall.proxy import connection_pool as connection_pool_lib
-from mustardfall.proxy import job as job_lib
 from mustardfall.proxy import refusals
+from mustardfall.proxy import request_context as request_context_lib
 from mustardfall.routing import endpoints
 from mustardfall.routing import quarantine
 from mustardfall.util import sockets
@@ -18,7 +18,7 @@
 a port that nobody listens on refuses it within some ms."""
 
 
-class Guard:
+class CrashGuard:
   """Looks at how sends end, and refuses requests that are quarantined.
 
   Args:
@@ -37,25 +37,30 @@
     self._verdicts = verdicts
     self._connection_pool = connection_pool
 
-  def check(self, job: job_lib.Job) -> None:
+  def refuse_quarantined(
+      self, context: request_context_lib.RequestContext
+  ) -> None:
     """Refuses a quarantined request.
 
     Raises:
       refusals.RefusalError: it must not be sent to any endpoint now.
     """
-    left_s = self._table.left_s(job.fingerprint)
+    left_s = self._table.left_s(context.fingerprint)
     if not left_s:
       return
-    if job.may_have_run:
-      raise refusals.failed()
+    if context.may_have_run:
+      raise refusals.response_lost()
     raise refusals.quarantined(left_s)
 
-  def note_answered(self, job: job_lib.Job) -> None:
+  def record_success(self, context: request_context_lib.RequestContext) -> None:
     """Notes that an endpoint ran a request to its end."""
-    self._verdicts.note_success(job.fingerprint)
+    self._verdicts.note_success(context.fingerprint)
 
-  async def note_broken(
-      self, job: job_lib.Job, row: endpoints.Row, ran_s: float
+  async def check_for_crash(
+      self,
+      context: request_context_lib.RequestContext,
+      row: endpoints.Row,
+      ran_s: float,
   ) -> None:
     """Notes that an answer broke off; counts it if the endpoint has ended.
 
@@ -64,7 +69,7 @@
     """
     try:
       connection = await self._connection_pool.acquire(
-          row.url, _CONNECT_S, fresh=True
+          row.url, _CONNECT_S, force_new=True
       )
     except errors.EndpointUnreachableError as exc:
       if not sockets.is_refused(exc):
@@ -72,17 +77,17 @@
     else:
       await self._connection_pool.release(connection, None)
       return
-    team = job.team.name if job.team else ""
+    team = context.team.name if context.team else ""
     logger.info(
         "endpoint ended under a request",
         extra={
-            "request": job.request.id,
-            "fingerprint": job.fingerprint,
+            "request": context.request.id,
+            "fingerprint": context.fingerprint,
             "endpoint": row.life,
             "address": row.url,
             "ran_s": round(ran_s, 3),
         },
     )
     self._verdicts.note_end(
-        quarantine.Suspect(job.fingerprint, team, row.life, ran_s)
+        quarantine.Suspect(context.fingerprint, team, row.life, ran_s)
     )
--- a/mustardfall/proxy/exchange.py
+++ b/mustardfall/proxy/exchange.py
@@ -15,12 +15,12 @@
 from mustardfall.proxy import messages
 
 _READ_BYTES = 65_536
-_MOST_HEAD_BYTES = 65_536
-_MOST_STRANGERS = 4
+_MAX_HEAD_BYTES = 65_536
+_MAX_FOREIGN_RESPONSES = 4
 """Answers of other requests passed over on one connection; more are no
 late answers but a server out of step."""
 
-_BROKEN = (
+_CONNECTION_ERRORS = (
     anyio.BrokenResourceError,
     anyio.ClosedResourceError,
     OSError,
@@ -28,7 +28,7 @@
 )
 
 
-class Room(Protocol):
+class MemoryLimiter(Protocol):
   """Where an answer is held until it is whole."""
 
   def hold(self, size: int) -> bool:
@@ -71,11 +71,11 @@
     )
     self._parser = self._new_parser()
     self._sent = False
-    self._clean = False
+    self._is_complete = False
     """Whether the answer has been read to its very end."""
     self._idle_timeout_s: float | None = None
     self._closes_connection = False
-    self._length = 0
+    self._content_length = 0
     """Bytes of the answer's body, if it says so."""
     self.received = False
     """Whether any byte came back."""
@@ -83,7 +83,7 @@
   def _new_parser(self) -> h11.Connection:
     """Returns a parser that expects the answer to this request."""
     parser = h11.Connection(
-        h11.CLIENT, max_incomplete_event_size=_MOST_HEAD_BYTES
+        h11.CLIENT, max_incomplete_event_size=_MAX_HEAD_BYTES
     )
     parser.send(self._request)
     if self._body:
@@ -125,12 +125,12 @@
       tg.start_soon(self._send)
       await _read()
       tg.cancel_scope.cancel()
-    found = result[0]
-    if isinstance(found, errors.BrokenAnswerError):
-      raise found
-    self._idle_timeout_s = found.idle_timeout_s
-    self._closes_connection = found.closes_connection
-    return found
+    head_or_error = result[0]
+    if isinstance(head_or_error, errors.BrokenAnswerError):
+      raise head_or_error
+    self._idle_timeout_s = head_or_error.idle_timeout_s
+    self._closes_connection = head_or_error.closes_connection
+    return head_or_error
 
   async def _send(self) -> None:
     try:
@@ -148,20 +148,20 @@
     rest, self._connection.rest = self._connection.rest, b""
     if rest:
       self._parser.receive_data(rest)
-    for _ in range(_MOST_STRANGERS):
+    for _ in range(_MAX_FOREIGN_RESPONSES):
       event = await self._next_event()
       while isinstance(event, h11.InformationalResponse):
         event = await self._next_event()
       if not isinstance(event, h11.Response):
         raise errors.BrokenAnswerError("no answer before the end")
-      answer = decode(event.status_code, list(event.headers))
-      if answer.request_id in (request_id, ""):
-        self._length = messages.length_of(event.headers)
-        return answer
-      await self._pass_over(event)
+      head = decode(event.status_code, list(event.headers))
+      if head.request_id in (request_id, ""):
+        self._content_length = messages.content_length(event.headers)
+        return head
+      await self._skip_response(event)
     raise errors.BrokenAnswerError("answers of other requests only")
 
-  async def _pass_over(self, head: h11.Response) -> None:
+  async def _skip_response(self, head: h11.Response) -> None:
     """Reads another request's answer to its end."""
     names = {name for name, _ in head.headers}
     if not names & {b"content-length", b"transfer-encoding"}:
@@ -189,7 +189,7 @@
           data = b""
         self.received = self.received or bool(data)
         self._parser.receive_data(data)
-    except _BROKEN as exc:
+    except _CONNECTION_ERRORS as exc:
       raise errors.BrokenAnswerError(repr(exc)) from exc
 
   async def body(self) -> AsyncIterator[bytes]:
@@ -203,30 +203,36 @@
       if isinstance(event, h11.Data):
         yield bytes(event.data)
       elif isinstance(event, h11.EndOfMessage):
-        self._clean = True
+        self._is_complete = True
         return
 
-  async def read_body(self, most: int, room: Room | None = None) -> bytes:
+  async def read_body(
+      self, max_bytes: int, memory: MemoryLimiter | None = None
+  ) -> bytes:
     """Returns the whole body.
 
     Args:
-      most: bytes that it may have.
-      room: where it is held; None: it is not counted.
+      max_bytes: bytes that it may have.
+      memory: where it is held; None: it is not counted.
 
     Raises:
       errors.BrokenAnswerError: it ended early, is longer than `most`, or
         there is no room for it.
     """
     out = bytearray()
-    length = min(self._length, most)
-    if room is not None and length and not await room.hold_whole(length):
-      raise errors.BrokenAnswerError(f"no room for {length} bytes")
+    length = min(self._content_length, max_bytes)
+    if memory is not None and length and not await memory.hold_whole(length):
+      raise errors.BrokenAnswerError(
+          f"no memory for a response body of {length} bytes"
+      )
     async for data in self.body():
       out += data
-      if len(out) > most:
-        raise errors.BrokenAnswerError(f"body over {most} bytes")
-      if room is not None and not length and not room.hold(len(data)):
-        raise errors.BrokenAnswerError(f"no room after {len(out)} bytes")
+      if len(out) > max_bytes:
+        raise errors.BrokenAnswerError(f"response body over {max_bytes} bytes")
+      if memory is not None and not length and not memory.hold(len(data)):
+        raise errors.BrokenAnswerError(
+            f"no memory for the response body after {len(out)} bytes"
+        )
     return bytes(out)
 
   async def close(self) -> None:
@@ -240,7 +246,7 @@
         await self._connection_pool.discard(self._connection)
 
   def _may_reuse(self) -> bool:
-    if not self._clean or not self._sent or self._closes_connection:
+    if not self._is_complete or not self._sent or self._closes_connection:
       return False
     if self._parser.their_state is not h11.DONE:
       return False  # ended with the connection
--- a/mustardfall/proxy/http_client.py
+++ b/mustardfall/proxy/http_client.py
@@ -10,11 +10,11 @@
 from mustardfall.proxy import exchange as exchange_lib
 from mustardfall.proxy import messages
 
-_MOST_BYTES = 4_194_304
+_MAX_BODY_BYTES = 4_194_304
 """Several times a page of the store, and the list of 4,900 endpoints."""
-_CONNECT_SHARE = 0.6
+_CONNECT_TIMEOUT_SHARE = 0.6
 """Part of a call's time that opening a connection may take."""
-_SILENCE_S = 0.45
+_READ_TIMEOUT_S = 0.45
 """An answer that has begun is given up after a pause of this length."""
 _MAX_TRANSFER_S = 4.0
 """Longest that the rest of an answer may take: 2.5 MB at 5 Mbit/s."""
@@ -73,7 +73,7 @@
     size = len(body)
     deadline = anyio.current_time() + timeout_s
     connection = await self._connection_pool.acquire(
-        address, timeout_s * _CONNECT_SHARE
+        address, timeout_s * _CONNECT_TIMEOUT_SHARE
     )
     headers = [
         (b"host", address.encode()),
@@ -90,10 +90,10 @@
     )
     try:
       with anyio.CancelScope(deadline=deadline) as scope:
-        answer = await exchange.start(_decode_response, "")
+        head = await exchange.start(_decode_response, "")
         content = await _read_content(exchange, scope)
         size += len(content)
-        return Response(answer.status, content)
+        return Response(head.status, content)
     finally:
       self._overhead.note(overhead_lib.name_call(target), size)
       await exchange.close()
@@ -105,14 +105,16 @@
     exchange: exchange_lib.Exchange, scope: anyio.CancelScope
 ) -> bytes:
   """Returns an answer's body; moves the deadline on while bytes arrive."""
-  ends = anyio.current_time() + _MAX_TRANSFER_S
+  transfer_deadline = anyio.current_time() + _MAX_TRANSFER_S
   content = bytearray()
   async for data in exchange.body():
     content += data
-    if len(content) > _MOST_BYTES:
-      raise errors.BrokenAnswerError(f"body over {_MOST_BYTES} bytes")
-    silent_at = anyio.current_time() + _SILENCE_S
-    scope.deadline = min(ends, max(scope.deadline, silent_at))
+    if len(content) > _MAX_BODY_BYTES:
+      raise errors.BrokenAnswerError(
+          f"response body over {_MAX_BODY_BYTES} bytes"
+      )
+    read_deadline = anyio.current_time() + _READ_TIMEOUT_S
+    scope.deadline = min(transfer_deadline, max(scope.deadline, read_deadline))
   return bytes(content)
 
 
--- a/mustardfall/proxy/http_server.py
+++ b/mustardfall/proxy/http_server.py
@@ -16,7 +16,7 @@
 from mustardfall import errors
 from mustardfall import settings
 from mustardfall.proxy import messages
-from mustardfall.proxy import room as room_lib
+from mustardfall.proxy import resource_limiter as resource_limiter_lib
 from mustardfall.routing import configuration
 from mustardfall.util import clock as clock_lib
 from mustardfall.util import sockets
@@ -24,23 +24,23 @@
 logger = logging.getLogger(__name__)
 
 _READ_BYTES = 65_536
-_MOST_PIPELINED_BYTES = 65_536
+_MAX_PIPELINED_BYTES = 65_536
 """Bytes of later requests read while one is served. The read goes on only
 to notice that the caller has left; past this it waits, which bounds memory."""
 _LINGER_S = 0.5
 """How long bytes are still taken after the last answer. Closing while
 unread bytes wait resets the connection, and the caller may lose the answer
 that it has not read yet."""
-_COME_BACK_S = 1.0
+_RETRY_AFTER_S = 1.0
 """When a caller that found no room may try again, seconds. It will mostly meet
 another router."""
-_ACCEPT_AGAIN_S = 0.1
+_ACCEPT_RETRY_S = 0.1
 """Pause after a connection could not be accepted. Without descriptors the
 call fails at once, again and again, until some are free."""
-_FOLDED = re.compile(rb"\n[ \t]")
-_LENGTH = re.compile(rb"\ncontent-length[ \t]*:", re.IGNORECASE)
-_CODING = re.compile(rb"\ntransfer-encoding[ \t]*:", re.IGNORECASE)
-_GONE = (
+_FOLDED_LINE = re.compile(rb"\n[ \t]")
+_CONTENT_LENGTH = re.compile(rb"\ncontent-length[ \t]*:", re.IGNORECASE)
+_TRANSFER_ENCODING = re.compile(rb"\ntransfer-encoding[ \t]*:", re.IGNORECASE)
+_DISCONNECT_ERRORS = (
     anyio.BrokenResourceError,
     anyio.ClosedResourceError,
     OSError,
@@ -54,14 +54,14 @@
   connection, so that it never looks complete.
   """
 
-  def __init__(self, session: "_Session") -> None:
-    self._session = session
+  def __init__(self, connection: "_CallerConnection") -> None:
+    self._connection = connection
     self.started = False
     self.ended = False
 
   def hold(self, size: int) -> bool:
     """Holds `size` bytes of an answer; returns False if there is no room."""
-    return self._session.hold_answer(size)
+    return self._connection.allocate_response(size)
 
   async def hold_whole(self, size: int) -> bool:
     """Holds a whole answer of `size` bytes, as soon as there is room.
@@ -69,7 +69,7 @@
     Returns:
       False: there will never be.
     """
-    return await self._session.hold_whole_answer(size)
+    return await self._connection.wait_and_allocate_response(size)
 
   async def respond(
       self, status: int, headers: list[messages.Header], body: bytes = b""
@@ -78,32 +78,38 @@
     self.started = True
     length = (b"content-length", b"%d" % len(body))
     head = h11.Response(
-        status_code=status, headers=[*headers, length, *self._ending()]
+        status_code=status,
+        headers=[*headers, length, *self._connection_headers()],
     )
-    await self._session.send(head, h11.Data(data=body), h11.EndOfMessage())
+    await self._connection.send(head, h11.Data(data=body), h11.EndOfMessage())
     self.ended = True
 
   async def start(self, status: int, headers: list[messages.Header]) -> None:
     """Sends the head of an answer whose body follows in chunks."""
     self.started = True
     chunked = (b"transfer-encoding", b"chunked")
-    await self._session.send(
+    await self._connection.send(
         h11.Response(
-            status_code=status, headers=[*headers, chunked, *self._ending()]
+            status_code=status,
+            headers=[*headers, chunked, *self._connection_headers()],
         )
     )
 
   async def write(self, data: bytes) -> None:
     """Sends a piece of the body."""
-    await self._session.send(h11.Data(data=data))
+    await self._connection.send(h11.Data(data=data))
 
   async def end(self) -> None:
     """Sends the end of the body."""
-    await self._session.send(h11.EndOfMessage())
+    await self._connection.send(h11.EndOfMessage())
     self.ended = True
 
-  def _ending(self) -> list[messages.Header]:
-    return [(b"connection", b"close")] if self._session.is_last else []
+  def _connection_headers(self) -> list[messages.Header]:
+    return (
+        [(b"connection", b"close")]
+        if self._connection.closes_after_response
+        else []
+    )
 
 
 Handler = Callable[[messages.Request, bytes, Responder], Awaitable[None]]
@@ -128,17 +134,20 @@
       limits: Callable[[], configuration.Limits],
       clock: clock_lib.Clock,
       name: str = "callers",
-      room: room_lib.Room | None = None,
+      resource_limiter: resource_limiter_lib.ResourceLimiter | None = None,
   ) -> None:
     self._name = name
-    self.room = room or room_lib.for_callers(settings.Limits())
+    self.resource_limiter = (
+        resource_limiter
+        or resource_limiter_lib.new_caller_limiter(settings.Limits())
+    )
     self.dialect = dialect
     self.handler = handler
     self.limits = limits
     self.clock = clock
-    self.stopping = False
+    self.draining = False
     self.in_flight = 0
-    self._idle: dict[anyio.CancelScope, room_lib.Holding] = {}
+    self._idle: dict[anyio.CancelScope, resource_limiter_lib.Allocation] = {}
     """Connections that wait for a request, the longest first: the scopes of
     their waits, and what they hold."""
 
@@ -169,69 +178,74 @@
               "connection not accepted",
               extra={"serves": self._name, "error": str(exc)},
           )
-          await anyio.sleep(_ACCEPT_AGAIN_S)
+          await anyio.sleep(_ACCEPT_RETRY_S)
           continue
         tasks.start_soon(self._serve_connection, stream)
 
   async def _serve_connection(self, stream: abc.SocketStream) -> None:
-    held = self.room.hold()
-    held.connect()
+    allocation = self.resource_limiter.new_allocation()
+    allocation.add_connection()
     try:
-      session = _Session(self, stream, held)
-      if self._make_room_for_connection():
-        await session.run()
-      elif not self.room.is_far_over:
-        await session.refuse_connection()
-    except* _GONE:
+      connection = _CallerConnection(self, stream, allocation)
+      if self._admit_connection():
+        await connection.run()
+      elif not self.resource_limiter.is_refusal_limit_reached:
+        await connection.refuse_connection()
+    except* _DISCONNECT_ERRORS:
       pass  # the caller has gone; what it asked for was cancelled
     except* Exception:  # noqa: BLE001  one connection must not end the rest
       logger.exception("connection failed")
     finally:
-      held.close()
+      allocation.close()
       with anyio.CancelScope(shield=True):
         await anyio.aclose_forcefully(stream)
 
-  def _make_room_for_connection(self) -> bool:
-    while self.room.is_over:
-      if not self._close_idlest():
+  def _admit_connection(self) -> bool:
+    while self.resource_limiter.is_exhausted:
+      if not self._close_longest_idle():
         return False
     return True
 
-  def make_room(
-      self, held: room_lib.Holding, size: int, share: float = 1.0
+  def allocate(
+      self,
+      allocation: resource_limiter_lib.Allocation,
+      size: int,
+      share: float = 1.0,
   ) -> bool:
     """Holds `size` more bytes, idle connections making room."""
-    while not held.take(size, share):
-      if not self._close_idlest():
+    while not allocation.allocate(size, share):
+      if not self._close_longest_idle():
         return False
     return True
 
-  def _close_idlest(self) -> bool:
+  def _close_longest_idle(self) -> bool:
     """Closes the connection that has waited longest; False: none waits."""
-    for scope, held in self._idle.items():
+    for scope, allocation in self._idle.items():
       del self._idle[scope]
-      held.give_way()
+      allocation.evict()
       scope.cancel()
       return True
     return False
 
   @contextlib.contextmanager
-  def wait(self, timeout_s: float, held: room_lib.Holding) -> Iterator[None]:
+  def wait_for_request(
+      self, timeout_s: float, allocation: resource_limiter_lib.Allocation
+  ) -> Iterator[None]:
     """Limits a wait for a request, in which the connection may be closed."""
     with anyio.move_on_after(timeout_s) as scope:
-      self._idle[scope] = held
+      self._idle[scope] = allocation
       try:
         yield
       finally:
         self._idle.pop(scope, None)
 
-  def stop_idle(self) -> None:
+  def start_draining(self) -> None:
     """Closes idle connections; those with a request end after it."""
-    self.stopping = True
+    self.draining = True
     for scope in list(self._idle):
       scope.cancel()
 
-  async def finish(self, timeout_s: float) -> bool:
+  async def wait_until_drained(self, timeout_s: float) -> bool:
     """Waits for requests in flight; returns whether all ended."""
     with anyio.move_on_after(timeout_s):
       while self.in_flight:
@@ -239,31 +253,31 @@
     return not self.in_flight
 
 
-class _Session:
+class _CallerConnection:
   """One caller's connection."""
 
   def __init__(
       self,
-      http_server: HttpServer,
+      server: HttpServer,
       stream: abc.SocketStream,
-      held: room_lib.Holding,
+      allocation: resource_limiter_lib.Allocation,
   ) -> None:
-    self._front = http_server
+    self._server = server
     self._stream = stream
-    self._held_idle = held
-    self._held = http_server.room.hold()
+    self._connection_allocation = allocation
+    self._request_allocation = server.resource_limiter.new_allocation()
     """What the request being read or served holds."""
     self._parser = self._new_parser()
-    self._raw = bytearray()
+    self._head_bytes = bytearray()
     """The head being read, as received."""
-    self._ended = False
-    self.is_last = False
+    self._caller_closed = False
+    self.closes_after_response = False
     """Whether the connection closes after the answer being sent."""
 
   def _new_parser(self) -> h11.Connection:
     return h11.Connection(
         h11.SERVER,
-        max_incomplete_event_size=self._front.limits().header_bytes,
+        max_incomplete_event_size=self._server.limits().header_bytes,
     )
 
   async def run(self) -> None:
@@ -272,11 +286,11 @@
       rest, _ = self._parser.trailing_data
       # A parser per request: the limits may have changed meanwhile.
       self._parser = self._new_parser()
-      self._raw = bytearray(rest)
+      self._head_bytes = bytearray(rest)
       if rest:
         self._parser.receive_data(rest)
-    if not self._held_idle.gave_way:
-      await self._linger()
+    if not self._connection_allocation.evicted:
+      await self._close_lingering()
 
   async def _serve_one(self) -> bool:
     """Serves one request; returns whether another may follow."""
@@ -287,40 +301,44 @@
       await self._refuse(responder, exc)
       return False
     finally:
-      self._held.close()
+      self._request_allocation.close()
 
   async def _serve_next(self, responder: Responder) -> bool:
     head = await self._read_head()
     if head is None:
       return False
-    self._take(room_lib.REQUEST_BYTES)
+    self._allocate(resource_limiter_lib.REQUEST_OVERHEAD_BYTES)
     request = self._decode(head)
     body = await self._read_body(head)
-    self.is_last = self._front.stopping or _asks_close(head)
-    self._front.in_flight += 1
+    self.closes_after_response = self._server.draining or _asks_close(head)
+    self._server.in_flight += 1
     try:
       await self._handle(request, body, responder)
     finally:
-      self._front.in_flight -= 1
-    return responder.ended and not self.is_last and not self._ended
+      self._server.in_flight -= 1
+    return (
+        responder.ended
+        and not self.closes_after_response
+        and not self._caller_closed
+    )
 
   async def _refuse(
       self, responder: Responder, exc: errors.BadRequestError
   ) -> None:
-    self.is_last = True
+    self.closes_after_response = True
     logger.info(
         "request not read",
         extra={"status": exc.status, "reason": str(exc)}
-        | self._front.room.facts,
+        | self._server.resource_limiter.log_fields,
     )
-    headers = self._front.dialect.encode_refusal("", exc.retry_after_s)
+    headers = self._server.dialect.encode_refusal("", exc.retry_after_s)
     if self._parser.our_state in (h11.IDLE, h11.SEND_RESPONSE):
       await responder.respond(exc.status, headers, str(exc).encode())
 
   async def _read_head(self) -> h11.Request | None:
     """Returns the next request's head; None when there is none."""
-    limits = self._front.limits()
-    if not self._raw and not await self._wait_for_bytes(
+    limits = self._server.limits()
+    if not self._head_bytes and not await self._wait_for_bytes(
         limits.idle_timeout.total_seconds()
     ):
       return None
@@ -334,11 +352,11 @@
 
   async def _wait_for_bytes(self, timeout_s: float) -> bool:
     """Waits for a request to begin; returns whether one did."""
-    if self._front.stopping:
+    if self._server.draining:
       return False
-    with self._front.wait(timeout_s, self._held_idle):
+    with self._server.wait_for_request(timeout_s, self._connection_allocation):
       await self._receive()
-    return bool(self._raw)
+    return bool(self._head_bytes)
 
   async def _receive(self) -> None:
     """Reads once from the connection."""
@@ -346,10 +364,10 @@
       data = await self._stream.receive(_READ_BYTES)
     except anyio.EndOfStream:
       data = b""
-      self._ended = True
+      self._caller_closed = True
     if self._parser.their_state is h11.IDLE:
-      self._take(2 * len(data))
-      self._raw += data
+      self._allocate(2 * len(data))
+      self._head_bytes += data
     self._parser.receive_data(data)
 
   async def _next_event(self) -> h11.Event:
@@ -371,59 +389,70 @@
     run a request that was hidden inside it. The parser mends folded
     lines and repeated lengths, so they are looked for in the raw bytes.
     """
-    end = self._raw.find(b"\r\n\r\n")
-    head = bytes(self._raw if end < 0 else self._raw[: end + 2])
-    if len(head) > self._front.limits().header_bytes:
+    end = self._head_bytes.find(b"\r\n\r\n")
+    head = bytes(self._head_bytes if end < 0 else self._head_bytes[: end + 2])
+    if len(head) > self._server.limits().header_bytes:
       raise errors.BadRequestError("head too large", 431)
-    if _FOLDED.search(head):
+    if _FOLDED_LINE.search(head):
       raise errors.BadRequestError("folded header")
-    lengths = len(_LENGTH.findall(head))
-    if lengths > 1 or (lengths and _CODING.search(head)):
+    lengths = len(_CONTENT_LENGTH.findall(head))
+    if lengths > 1 or (lengths and _TRANSFER_ENCODING.search(head)):
       raise errors.BadRequestError("ambiguous body length")
 
   def _decode(self, head: h11.Request) -> messages.Request:
-    return self._front.dialect.decode_request(
+    return self._server.dialect.decode_request(
         head.method, head.target, list(head.headers)
     )
 
-  def _take(self, size: int) -> None:
+  def _allocate(self, size: int) -> None:
     """Holds `size` more bytes for the request; raises `errors.BusyError`."""
-    if not self._front.make_room(self._held, size):
-      raise errors.BusyError("no room", _COME_BACK_S)
+    if not self._server.allocate(self._request_allocation, size):
+      raise errors.BusyError("no room", _RETRY_AFTER_S)
 
-  def _take_body(self, size: int) -> None:
+  def _allocate_body(self, size: int) -> None:
     """Holds `size` bytes of the request's body; raises `errors.BusyError`."""
-    copies, share = room_lib.COPIES * size, room_lib.BODIES_SHARE
-    if size and not self._front.make_room(self._held, copies, share):
-      raise errors.BusyError("no room for a body", _COME_BACK_S)
+    copies, share = (
+        resource_limiter_lib.BODY_COPIES * size,
+        resource_limiter_lib.BODIES_SHARE,
+    )
+    if size and not self._server.allocate(
+        self._request_allocation, copies, share
+    ):
+      raise errors.BusyError("no room for a body", _RETRY_AFTER_S)
 
-  def hold_answer(self, size: int) -> bool:
+  def allocate_response(self, size: int) -> bool:
     """Holds `size` bytes of an answer; returns False if they don't fit."""
-    return self._front.make_room(self._held, room_lib.COPIES * size)
+    return self._server.allocate(
+        self._request_allocation, resource_limiter_lib.BODY_COPIES * size
+    )
 
-  async def hold_whole_answer(self, size: int) -> bool:
+  async def wait_and_allocate_response(self, size: int) -> bool:
     """Holds an answer, waiting for room; returns False if it never fits.
 
     Answers that each held what has come of them so far would fill the room
     together, and none would ever be whole.
     """
-    room = self._front.room
-    if not room.can_ever_fit(room_lib.COPIES * size):
+    resource_limiter = self._server.resource_limiter
+    if not resource_limiter.fits_when_empty(
+        resource_limiter_lib.BODY_COPIES * size
+    ):
       return False
-    while not self.hold_answer(size):
-      await room.wait()
+    while not self.allocate_response(size):
+      await resource_limiter.wait()
     return True
 
   async def refuse_connection(self) -> None:
     """Tells the caller, before it is read, that there is no room for it."""
-    await self._refuse(Responder(self), errors.BusyError("full", _COME_BACK_S))
-    await self._linger()
+    await self._refuse(
+        Responder(self), errors.BusyError("full", _RETRY_AFTER_S)
+    )
+    await self._close_lingering()
 
   async def _read_body(self, head: h11.Request) -> bytes:
-    limits = self._front.limits()
+    limits = self._server.limits()
     body = bytearray()
-    told = min(messages.length_of(head.headers), limits.body_bytes)
-    self._take_body(told)
+    announced = min(messages.content_length(head.headers), limits.body_bytes)
+    self._allocate_body(announced)
     while True:
       with anyio.move_on_after(limits.idle_timeout.total_seconds()) as scope:
         event = await self._next_event()
@@ -436,29 +465,29 @@
       body += event.data
       if len(body) > limits.body_bytes:
         raise errors.BadRequestError("body too large", 413)
-      if len(body) > told:
-        self._take_body(len(event.data))
+      if len(body) > announced:
+        self._allocate_body(len(event.data))
 
   async def _handle(
       self, request: messages.Request, body: bytes, responder: Responder
   ) -> None:
     async with anyio.create_task_group() as tg:
-      tg.start_soon(self._watch, tg.cancel_scope)
-      await self._front.handler(request, body, responder)
+      tg.start_soon(self._watch_for_disconnect, tg.cancel_scope)
+      await self._server.handler(request, body, responder)
       tg.cancel_scope.cancel()
 
-  async def _watch(self, scope: anyio.CancelScope) -> None:
+  async def _watch_for_disconnect(self, scope: anyio.CancelScope) -> None:
     """Cancels the request when its caller leaves."""
-    early = 0
+    pipelined = 0
     try:
-      while early < _MOST_PIPELINED_BYTES:
+      while pipelined < _MAX_PIPELINED_BYTES:
         data = await self._stream.receive(_READ_BYTES)
-        early += len(data)
+        pipelined += len(data)
         self._parser.receive_data(data)
-        if not self._held.take(len(data)):
+        if not self._request_allocation.allocate(len(data)):
           return
-    except (anyio.EndOfStream, *_GONE):
-      self._ended = True
+    except (anyio.EndOfStream, *_DISCONNECT_ERRORS):
+      self._caller_closed = True
       scope.cancel()
 
   async def send(self, *events: h11.Event) -> None:
@@ -467,12 +496,12 @@
     if data:
       await self._stream.send(data)
 
-  async def _linger(self) -> None:
+  async def _close_lingering(self) -> None:
     """Ends the connection so that the last answer still arrives."""
-    if self._ended:
+    if self._caller_closed:
       return
     with (
-        contextlib.suppress(anyio.EndOfStream, *_GONE),
+        contextlib.suppress(anyio.EndOfStream, *_DISCONNECT_ERRORS),
         anyio.move_on_after(_LINGER_S),
     ):
       await self._stream.send_eof()
--- a/mustardfall/proxy/internal.py
+++ b/mustardfall/proxy/internal.py
@@ -16,7 +16,7 @@
 
 logger = logging.getLogger(__name__)
 
-Endpoint = Callable[[dict[str, Any]], Awaitable[Any]]
+CallHandler = Callable[[dict[str, Any]], Awaitable[Any]]
 """Takes a JSON body, returns the JSON answer."""
 
 
@@ -49,7 +49,7 @@
     return []
 
 
-class Handler:
+class PeerHandler:
   """Serves other routers' calls.
 
   Args:
@@ -58,10 +58,10 @@
   """
 
   def __init__(
-      self, accounts: accounts_lib.Accounts, extra: dict[str, Endpoint]
+      self, accounts: accounts_lib.Accounts, extra: dict[str, CallHandler]
   ) -> None:
     self._accounts = accounts
-    self._paths: dict[str, Endpoint] = {
+    self._handlers: dict[str, CallHandler] = {
         peers.RESERVE_PATH: self._reserve,
         peers.SETTLE_PATH: self._settle,
         peers.RECALL_PATH: self._recall,
@@ -76,12 +76,12 @@
       responder: http_server.Responder,
   ) -> None:
     """Answers one call."""
-    endpoint = self._paths.get(request.path)
-    if endpoint is None:
+    handler = self._handlers.get(request.path)
+    if handler is None:
       await responder.respond(404, [])
       return
     try:
-      answer = await endpoint(json.loads(body or b"{}"))
+      answer = await handler(json.loads(body or b"{}"))
     except (AttributeError, KeyError, TypeError, ValueError) as exc:
       logger.warning(
           "peer call malformed",
--- a/mustardfall/proxy/messages.py
+++ b/mustardfall/proxy/messages.py
@@ -11,7 +11,7 @@
 """A header's lower-case name and its value."""
 
 
-def length_of(headers: Iterable[Header]) -> int:
+def content_length(headers: Iterable[Header]) -> int:
   """Returns the length of the body that headers announce, 0: they do not."""
   for name, value in headers:
     if name == b"content-length":
@@ -30,12 +30,12 @@
   """What a generation takes of a budget."""
 
   prompt_tokens: int
-  most_output_tokens: int
+  max_output_tokens: int
 
   @property
-  def most(self) -> int:
+  def max_tokens(self) -> int:
     """The most tokens that the request can use."""
-    return self.prompt_tokens + self.most_output_tokens
+    return self.prompt_tokens + self.max_output_tokens
 
 
 class Request(NamedTuple):
--- a/mustardfall/proxy/refusals.py
+++ b/mustardfall/proxy/refusals.py
@@ -32,16 +32,16 @@
     self.facts = facts
 
 
-_START_S = 0.5
+_STARTUP_RETRY_S = 0.5
 """A starting router knows its configuration within about this time."""
 
 
-def unknown_configuration() -> RefusalError:
+def no_configuration() -> RefusalError:
   """No configuration has been read yet."""
-  return RefusalError(503, "no configuration yet", _START_S)
+  return RefusalError(503, "no configuration yet", _STARTUP_RETRY_S)
 
 
-def unsure_configuration(
+def stale_configuration(
     version: int, age_s: float, retry_after_s: float
 ) -> RefusalError:
   """It is not in the configuration known here, which may not be the newest."""
@@ -60,13 +60,13 @@
   return RefusalError(401, "unknown API key", facts={"version": version})
 
 
-def exhausted(where: known.Whereabouts | None) -> RefusalError:
+def budget_exhausted(where: known.Whereabouts | None) -> RefusalError:
   """The budget cannot cover the request, whatever comes back to it."""
   facts = where._asdict() if where else None
   return RefusalError(402, "budget used up", facts=facts)
 
 
-def no_tokens(
+def tokens_unavailable(
     where: known.Whereabouts | None, retry_after_s: float
 ) -> RefusalError:
   """The budget's tokens are held elsewhere, or out of reach."""
@@ -84,7 +84,7 @@
   return RefusalError(503, "no endpoint free", retry_after_s)
 
 
-def too_late(retry_after_s: float) -> RefusalError:
+def not_sent_in_time(retry_after_s: float) -> RefusalError:
   """Its time was over before it was sent anywhere."""
   return RefusalError(503, "not sent in time", retry_after_s)
 
@@ -94,6 +94,6 @@
   return RefusalError(504, "no answer in time")
 
 
-def failed() -> RefusalError:
+def response_lost() -> RefusalError:
   """It may have run, and there is no whole answer."""
   return RefusalError(502, "answer lost")
--- a/mustardfall/proxy/job.py
+++ b/mustardfall/proxy/request_context.py
@@ -12,7 +12,7 @@
 
 
 @dataclasses.dataclass
-class Job:
+class RequestContext:
   """A request on its way, and what is known of its sends."""
 
   request: messages.Request
@@ -21,40 +21,40 @@
   route: configuration.Route
   service: configuration.Service
   team: configuration.Team | None
-  arrived: float
+  arrived_at: float
   deadline: float
   """When the router answers at the latest, monotonic seconds."""
-  joiner: streams.Joiner
+  sequencer: streams.EventSequencer
   fingerprint: str
   """What it has in common with others like it, see `routing.quarantine`."""
   reservation: allotment.Reservation | None = None
   sends: int = 0
-  connects: int = 0
+  failed_connects: int = 0
   may_have_run: bool = False
-  answered_whole: bool = False
+  delivered_whole: bool = False
   """Whether a success was answered in one piece."""
-  reserved_after_s: float = 0.0
+  reserve_wait_s: float = 0.0
   """How long it waited for tokens."""
-  tried: set[str] = dataclasses.field(default_factory=set)
+  tried_endpoints: set[str] = dataclasses.field(default_factory=set)
   endpoint: str = ""
-  first_at: float | None = None
+  first_output_at: float | None = None
   """When the first event or the answer came."""
-  failure: tuple[messages.ResponseHead, bytes] | None = None
+  error_response: tuple[messages.ResponseHead, bytes] | None = None
   """An endpoint's own failure, passed on if no other try does better."""
 
   @property
-  def used(self) -> int:
+  def used_tokens(self) -> int:
     """Tokens of its budget that the request has used.
 
     A request whose answer was lost before anything of it was passed on may
     have run, but its team got nothing: its tokens stay with the budget.
     """
     usage = self.request.usage
-    delivered = bool(self.joiner.passed) or self.answered_whole
+    delivered = bool(self.sequencer.forwarded_events) or self.delivered_whole
     if usage is None or not delivered:
       return 0
-    output = self.joiner.passed * self.tokens_per_event
-    return usage.prompt_tokens + min(usage.most_output_tokens, output)
+    output = self.sequencer.forwarded_events * self.tokens_per_event
+    return usage.prompt_tokens + min(usage.max_output_tokens, output)
 
   @property
   def tokens_per_event(self) -> int:
@@ -63,7 +63,7 @@
     return engine.tokens_per_event if engine else 1
 
 
-class Reading:
+class PendingPrefill:
   """A prompt that an endpoint has still to read; ends once.
 
   Args:
@@ -82,7 +82,7 @@
     self._seconds = 0.0
 
 
-def prompt_of(request: messages.Request) -> placement.Prompt:
+def prompt_for_placement(request: messages.Request) -> placement.Prompt:
   """Returns the prefix that the request shares with others.
 
   The last part is the request's own, so the one before it names the
--- /dev/null
+++ b/mustardfall/proxy/request_log.py
@@ -0,0 +1,120 @@
+"""One log line, and the metrics, for each decision on a request."""
+
+import logging
+
+from mustardfall import metrics
+from mustardfall.proxy import messages
+from mustardfall.proxy import refusals
+from mustardfall.proxy import request_context as request_context_lib
+from mustardfall.routing import endpoints
+from mustardfall.util import clock as clock_lib
+
+logger = logging.getLogger(__name__)
+
+
+class RequestLog:
+  """Writes down what becomes of requests.
+
+  Args:
+    clock: the time source.
+    instruments: counters and histograms.
+  """
+
+  def __init__(
+      self, clock: clock_lib.Clock, instruments: metrics.Instruments
+  ) -> None:
+    self._clock = clock
+    self._instruments = instruments
+
+  def log_failed_attempt(
+      self,
+      context: request_context_lib.RequestContext,
+      row: endpoints.Row,
+      why: str,
+  ) -> None:
+    """Notes a send that came to nothing."""
+    logger.info(
+        "try failed",
+        extra={
+            "request": context.request.id,
+            "endpoint": row.name,
+            "address": row.url,
+            "try": context.sends,
+            "why": why,
+            "may_have_run": context.may_have_run,
+            "last_event": context.sequencer.last_event_id,
+        },
+    )
+
+  def log_refusal(
+      self,
+      request: messages.Request,
+      refusal: refusals.RefusalError,
+      context: request_context_lib.RequestContext | None,
+  ) -> None:
+    """Notes an answer of the router's own; no job: it was not admitted."""
+    logger.info(
+        "request refused",
+        extra={
+            "request": request.id,
+            "status": refusal.status,
+            "reason": refusal.reason,
+            "team": context.team.name if context and context.team else "",
+            "most_tokens": request.usage.max_tokens if request.usage else 0,
+            "facts": refusal.facts,
+            "sends": context.sends if context else 0,
+            "billed": context.used_tokens if context else 0,
+            "endpoint": context.endpoint if context else "",
+        },
+    )
+    attributes = metric_attributes(context) if context else {}
+    self._instruments.outcomes.add(1, {**attributes, "outcome": refusal.reason})
+
+  def log_end(
+      self,
+      context: request_context_lib.RequestContext,
+      outcome: str,
+      status: int,
+  ) -> None:
+    """Notes how a request ended that an endpoint answered or its caller left."""
+    now = self._clock.monotonic()
+    first_s = (
+        None
+        if context.first_output_at is None
+        else context.first_output_at - context.arrived_at
+    )
+    logger.info(
+        "request ended",
+        extra={
+            "request": context.request.id,
+            "route": context.route.name,
+            "team": context.team.name if context.team else "",
+            "outcome": outcome,
+            "status": status,
+            "endpoint": context.endpoint,
+            "sends": context.sends,
+            "first_ms": None if first_s is None else round(first_s * 1000),
+            "total_ms": round((now - context.arrived_at) * 1000),
+            "reserve_ms": round(context.reserve_wait_s * 1000),
+            "most_tokens": context.request.usage.max_tokens
+            if context.request.usage
+            else 0,
+            "events": context.sequencer.forwarded_events,
+            "billed": context.used_tokens,
+        },
+    )
+    attributes = metric_attributes(context)
+    self._instruments.outcomes.add(1, {**attributes, "outcome": outcome})
+    self._instruments.duration.record(now - context.arrived_at, attributes)
+    if first_s is not None:
+      self._instruments.ttft.record(first_s, attributes)
+
+
+def metric_attributes(
+    context: request_context_lib.RequestContext,
+) -> dict[str, str]:
+  """Returns what histograms are kept by: the tenant and its class."""
+  return {
+      "customer": context.team.name if context.team else "",
+      "class": f"{context.route.kind.name.lower()}-{context.route.priority}",
+  }
--- a/mustardfall/proxy/streams.py
+++ b/mustardfall/proxy/streams.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-_MOST_EVENT_BYTES = 1_048_576
+_MAX_EVENT_BYTES = 1_048_576
 """An event longer than this is no event of ours."""
 
 
@@ -13,11 +13,11 @@
   raw: bytes
 
 
-class Splitter:
+class EventParser:
   """Cuts a stream's bytes into whole events."""
 
   def __init__(self) -> None:
-    self._rest = b""
+    self._incomplete = b""
 
   def feed(self, data: bytes) -> list[Event]:
     """Returns the events that `data` completes.
@@ -25,15 +25,15 @@
     Raises:
       ValueError: the bytes are no events.
     """
-    *whole, self._rest = (self._rest + data).split(b"\n\n")
-    if len(self._rest) > _MOST_EVENT_BYTES:
+    *whole, self._incomplete = (self._incomplete + data).split(b"\n\n")
+    if len(self._incomplete) > _MAX_EVENT_BYTES:
       raise ValueError("event too long")
     return [Event(_id_of(raw), raw + b"\n\n") for raw in whole]
 
   @property
-  def rest(self) -> bytes:
+  def incomplete(self) -> bytes:
     """Returns what is not a whole event yet."""
-    return self._rest
+    return self._incomplete
 
 
 def _id_of(raw: bytes) -> int | None:
@@ -44,18 +44,18 @@
   return None
 
 
-class Joiner:
+class EventSequencer:
   """Passes each event on once and in order, over several endpoints.
 
   Args:
     last: the last event that the caller has already, if any.
   """
 
-  def __init__(self, last: int | None) -> None:
-    self.last = last
-    self.passed = 0
+  def __init__(self, last_event_id: int | None) -> None:
+    self.last_event_id = last_event_id
+    self.forwarded_events = 0
 
-  def take(self, event: Event) -> bool:
+  def accept(self, event: Event) -> bool:
     """Returns whether the caller still lacks `event`.
 
     Raises:
@@ -64,10 +64,10 @@
     """
     if event.id is None:
       return True
-    if self.last is not None and event.id <= self.last:
+    if self.last_event_id is not None and event.id <= self.last_event_id:
       return False
-    if self.last is not None and event.id != self.last + 1:
-      raise ValueError(f"event {event.id} follows {self.last}")
-    self.last = event.id
-    self.passed += 1
+    if self.last_event_id is not None and event.id != self.last_event_id + 1:
+      raise ValueError(f"event {event.id} follows {self.last_event_id}")
+    self.last_event_id = event.id
+    self.forwarded_events += 1
     return True
--- a/tests/platformcase.py
+++ b/tests/platformcase.py
@@ -20,7 +20,7 @@
 
 HOST = "shop.example"
 KEY = "key-of-acme"
-TUNED = {
+ROUTER_SETTINGS = {
     "tick_s": 0.05,
     "writer": {"interval_s": 0.0, "linger_s": 0.02, "max_keys": 12},
     "membership": {"ttl_s": 5, "grace_s": 1, "watch_idle_s": 0.5},
@@ -124,7 +124,7 @@
         return Answer(0, {}, bytes(body), False)
 
 
-class World:
+class Environment:
   """The store, servers and one gateway."""
 
   def __init__(self, clock: clock_lib.Clock) -> None:
@@ -133,8 +133,8 @@
     self.gateway: gateway_lib.Gateway | None = None
     self.stop = anyio.Event()
     self.port = 0
-    self.ended = False
-    self.crashes = 0
+    self.gateway_stopped = False
+    self.crash_count = 0
     """Servers that requests have ended."""
     self.store_port = 0
     self._tasks = None
@@ -157,7 +157,9 @@
     self.list_server(id_, port)
     return server
 
-  async def keep_servers(self, crash_on: bytes, back_s: float = 0.3) -> None:
+  async def restart_crashed_servers(
+      self, crash_on: bytes, delay_s: float = 0.3
+  ) -> None:
     """Has servers that a request ends come back under new ids."""
     for number in itertools.count():
       ended = [
@@ -165,17 +167,17 @@
       ]
       for server in ended:
         del self.servers[server.id]
-        self.crashes += 1
+        self.crash_count += 1
         self.store.remove(f"servers/{server.id}")
-        self._tasks.start_soon(self._add_later, number, crash_on, back_s)
+        self._tasks.start_soon(self._add_after_delay, number, crash_on, delay_s)
       await anyio.sleep(0.01)
 
-  async def _add_later(
-      self, number: int, crash_on: bytes, back_s: float
+  async def _add_after_delay(
+      self, number: int, crash_on: bytes, delay_s: float
   ) -> None:
-    await anyio.sleep(back_s)
-    again = self.add_server(f"i-again{number}-{self.crashes}")
-    again.behaviour.crash_on = crash_on
+    await anyio.sleep(delay_s)
+    replacement = self.add_server(f"i-again{number}-{self.crash_count}")
+    replacement.behaviour.crash_on = crash_on
 
   async def add_gateway(
       self, name: str, stop: anyio.Event | None = None, started=None
@@ -197,10 +199,10 @@
 
     async def _run():
       await gateway.run(loops, found.ready, stop or anyio.Event(), 2.0)
-      self.ended = True
+      self.gateway_stopped = True
 
     self._tasks.start_soon(_run)
-    await self.until(lambda: gateway.ready)
+    await self.wait_until(lambda: gateway.ready)
     return gateway
 
   async def call(self, path: str, id_: str, **more: Any) -> Answer:
@@ -215,7 +217,7 @@
     async with await anyio.connect_tcp("127.0.0.1", self.port) as stream:
       yield Caller(stream)
 
-  async def until(self, condition, timeout_s: float = 5.0) -> None:
+  async def wait_until(self, condition, timeout_s: float = 5.0) -> None:
     """Waits until `condition()` holds."""
     with anyio.fail_after(timeout_s):
       while not condition():
@@ -236,27 +238,29 @@
       "bounds": {"retry_ratio": 0.2, "retry_slack": 58, "grace_s": 3},
       "platform": {"address": f"127.0.0.1:{store_port}"},
   }
-  return site_lib.decode(given, TUNED)
+  return site_lib.decode(given, ROUTER_SETTINGS)
 
 
 @contextlib.asynccontextmanager
 async def running(
     servers: tuple[str, ...] = ("i-1",), started=None, **fields: Any
 ):
-  """Runs the platform and a gateway; yields the `World`."""
+  """Runs the platform and a gateway; yields the `Environment`."""
   clock = clock_lib.SystemClock()
-  world = World(clock)
+  env = Environment(clock)
   store_port = fleet.free_port()
   async with anyio.create_task_group() as tg:
-    world._tasks = tg
-    tg.start_soon(world.store.serve, store_port)
-    world.configure(**fields)
+    env._tasks = tg
+    tg.start_soon(env.store.serve, store_port)
+    env.configure(**fields)
     for id_ in servers:
-      world.add_server(id_)
-    world.store_port = store_port
-    world.gateway = await world.add_gateway("front-1", world.stop, started)
-    world.port = world.gateway.config.listen.port
-    rows = world.gateway.directory.endpoints.rows
-    await world.until(lambda: world.gateway.ready and len(rows) >= len(servers))
-    yield world
+      env.add_server(id_)
+    env.store_port = store_port
+    env.gateway = await env.add_gateway("front-1", env.stop, started)
+    env.port = env.gateway.config.listen.port
+    rows = env.gateway.directory.endpoints.rows
+    await env.wait_until(
+        lambda: env.gateway.ready and len(rows) >= len(servers)
+    )
+    yield env
     tg.cancel_scope.cancel()
--- a/tests/processcase.py
+++ b/tests/processcase.py
@@ -26,8 +26,8 @@
 from tests import platformcase
 
 _ROOT = pathlib.Path(__file__).parent.parent
-_START_S = 20.0
-_STOP_S = 15.0
+_START_TIMEOUT_S = 20.0
+_STOP_TIMEOUT_S = 15.0
 
 
 class Router:
@@ -35,11 +35,14 @@
 
   def __init__(self, folder: pathlib.Path, store_port: int) -> None:
     self.settings_path = folder / "local.json"
-    self.own_path = folder / "router.yaml"
+    self.router_settings_path = folder / "router.yaml"
     self.log_path = folder / "log"
     self.settings = _settings(store_port)
-    self.own: dict[str, Any] = {**platformcase.TUNED, "proxy": {}}
-    self.most_files: int | None = None
+    self.router_settings: dict[str, Any] = {
+        **platformcase.ROUTER_SETTINGS,
+        "proxy": {},
+    }
+    self.max_files: int | None = None
     """Lowers the process's own limit on descriptors."""
     self._popen: subprocess.Popen | None = None
 
@@ -53,22 +56,22 @@
     """The process's id."""
     return self._popen.pid
 
-  def write(self, settings: Any) -> None:
+  def write_settings(self, settings: Any) -> None:
     """Writes the platform's settings file."""
     self.settings_path.write_text(json.dumps(settings))
 
   def start(self) -> None:
     """Starts the process; does not wait for it."""
     if not self.settings_path.exists():
-      self.write(self.settings)
-    self.own_path.write_text(yaml.safe_dump(self.own))
+      self.write_settings(self.settings)
+    self.router_settings_path.write_text(yaml.safe_dump(self.router_settings))
     command = [sys.executable, "-m", "mustardfall.platform"]
     command += ["--settings", str(self.settings_path)]
-    command += ["--own", str(self.own_path)]
+    command += ["--own", str(self.router_settings_path)]
     with open(self.log_path, "ab") as log:
       self._popen = subprocess.Popen(command, cwd=_ROOT, stdout=log, stderr=log)
-    if self.most_files is not None:
-      limits = (self.most_files, self.most_files)
+    if self.max_files is not None:
+      limits = (self.max_files, self.max_files)
       resource.prlimit(self.pid, resource.RLIMIT_NOFILE, limits)
 
   def signal(self, number: int) -> None:
@@ -97,7 +100,7 @@
     pages = int(pathlib.Path(f"/proc/{self.pid}/statm").read_text().split()[1])
     return pages * resource.getpagesize() / 1e6
 
-  async def until_ready(self, timeout_s: float = _START_S) -> None:
+  async def wait_until_ready(self, timeout_s: float = _START_TIMEOUT_S) -> None:
     """Waits until the balancer would send callers here."""
     host, _, port = self.settings["listen"]["ready"].rpartition(":")
     deadline = time.monotonic() + timeout_s
@@ -106,7 +109,7 @@
         raise AssertionError(f"not ready:\n{self.log[-4000:]}")
       await anyio.sleep(0.05)
 
-  async def until_logged(self, text: str, timeout_s: float = 10.0) -> None:
+  async def wait_until_logged(self, text: str, timeout_s: float = 10.0) -> None:
     """Waits for a log line."""
     deadline = time.monotonic() + timeout_s
     while text not in self.log:
@@ -122,7 +125,7 @@
       self.signal(signal.SIGTERM)
     with anyio.CancelScope(shield=True):
       try:
-        return await anyio.to_thread.run_sync(self._popen.wait, _STOP_S)
+        return await anyio.to_thread.run_sync(self._popen.wait, _STOP_TIMEOUT_S)
       except subprocess.TimeoutExpired:
         self._popen.kill()
         return await anyio.to_thread.run_sync(self._popen.wait)
@@ -159,7 +162,7 @@
   }
 
 
-class World:
+class Environment:
   """The store, one server and one router process."""
 
   def __init__(
@@ -190,7 +193,7 @@
 
 @contextlib.asynccontextmanager
 async def running(**limits: int):
-  """Runs the platform; yields a `World` whose router is not started yet.
+  """Runs the platform; yields an `Environment` whose router is not started yet.
 
   Args:
     **limits: what the operator's configuration limits, as on the wire.
@@ -212,21 +215,21 @@
       tg.start_soon(store.serve, store_port)
       tg.start_soon(server.serve, server_port)
       try:
-        yield World(router, store, server)
+        yield Environment(router, store, server)
       finally:
         await router.stop()
         tg.cancel_scope.cancel()
 
 
-def in_world(**limits: int):
+def in_environment(**limits: int):
   """Runs a test method inside `running(**limits)`."""
 
   def decorate(test):
     def run(self):
       async def go():
         with anyio.fail_after(120):
-          async with running(**limits) as world:
-            await test(self, world)
+          async with running(**limits) as env:
+            await test(self, env)
 
       anyio.run(go)
 
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -10,75 +10,75 @@
 
 from tests import test_gateway
 
-_CRASHES = 3
+_MAX_CRASHES = 3
 """Servers that may end before the request is known."""
 _POISON = b"crash"
 
 
 class CrashingRequestTest(testtools.TestCase):
 
-  async def _send(self, world, number, body=_POISON, path="/look/a"):
-    async with world.caller() as caller:
+  async def _send(self, env, number, body=_POISON, path="/look/a"):
+    async with env.caller() as caller:
       await caller.send(path, f"r{number}", body)
       return await caller.receive()
 
-  async def _send_often(self, world, times, body=_POISON, path="/look/a"):
+  async def _send_repeatedly(self, env, times, body=_POISON, path="/look/a"):
     """Sends the same request again and again; returns the answers."""
     answers = []
     for number in range(times):
-      answers.append(await self._send(world, number, body, path))
+      answers.append(await self._send(env, number, body, path))
       await anyio.sleep(0.05)
     return answers
 
-  def _poison(self, world):
-    for server in world.servers.values():
+  def _poison(self, env):
+    for server in env.servers.values():
       server.behaviour.crash_on = _POISON
 
-  @test_gateway.in_world(servers=tuple(f"i-{n}" for n in range(8)))
-  async def test_no_more_servers_end_than_it_takes_to_know(self, world):
+  @test_gateway.in_environment(servers=tuple(f"i-{n}" for n in range(8)))
+  async def test_no_more_servers_end_than_it_takes_to_know(self, env):
     """Guards against a request that ends one server after the other."""
-    self._poison(world)
+    self._poison(env)
     async with anyio.create_task_group() as tg:
-      tg.start_soon(world.keep_servers, _POISON)
-      answers = await self._send_often(world, 12)
+      tg.start_soon(env.restart_crashed_servers, _POISON)
+      answers = await self._send_repeatedly(env, 12)
       tg.cancel_scope.cancel()
-    self.assertTrue(world.crashes <= _CRASHES, world.crashes)
+    self.assertTrue(env.crash_count <= _MAX_CRASHES, env.crash_count)
     self.assertEqual(503, answers[-1].status)
     self.assertTrue(float(answers[-1].headers["retry-after"]) > 1)
 
-  @test_gateway.in_world(servers=tuple(f"i-{n}" for n in range(8)))
-  async def test_others_are_served_beside_it(self, world):
+  @test_gateway.in_environment(servers=tuple(f"i-{n}" for n in range(8)))
+  async def test_others_are_served_beside_it(self, env):
     """Guards against refusing what only ran beside such a request."""
-    await test_gateway.save_up_second_sends(world)
-    self._poison(world)
+    await test_gateway.fill_retry_budget(env)
+    self._poison(env)
     answers = []
 
     async def _send_others(number):
       for n in range(12):
         body = f"other{number}-{n}".encode()
-        answers.append(await self._send(world, f"o{number}-{n}", body))
+        answers.append(await self._send(env, f"o{number}-{n}", body))
         await anyio.sleep(0.05)
 
     async with anyio.create_task_group() as tg:
-      tg.start_soon(world.keep_servers, _POISON)
+      tg.start_soon(env.restart_crashed_servers, _POISON)
       async with anyio.create_task_group() as callers:
-        callers.start_soon(self._send_often, world, 12)
+        callers.start_soon(self._send_repeatedly, env, 12)
         for number in range(4):
           callers.start_soon(_send_others, number)
       tg.cancel_scope.cancel()
-    self.assertTrue(world.crashes <= _CRASHES, world.crashes)
+    self.assertTrue(env.crash_count <= _MAX_CRASHES, env.crash_count)
     served = sum(answer.status == 200 for answer in answers)
     self.assertTrue(served >= 0.95 * len(answers), served)
-    self.assertEqual(1, len(world.gateway.quarantine.verdicts()))
+    self.assertEqual(1, len(env.gateway.quarantine.verdicts()))
 
-  @test_gateway.in_world(servers=("i-1", "i-2", "i-3"))
-  async def test_lost_answers_of_servers_that_go_on_do_not_count(self, world):
+  @test_gateway.in_environment(servers=("i-1", "i-2", "i-3"))
+  async def test_lost_answers_of_servers_that_go_on_do_not_count(self, env):
     """Guards against refusing a request for connections that break."""
-    for server in world.servers.values():
+    for server in env.servers.values():
       server.behaviour.cut_after = 0
-    for answer in await self._send_often(world, 6):
+    for answer in await self._send_repeatedly(env, 6):
       self.assertEqual(502, answer.status)
-    for server in world.servers.values():
+    for server in env.servers.values():
       server.behaviour.cut_after = None
-    answer = await self._send(world, "after")
+    answer = await self._send(env, "after")
     self.assertEqual(200, answer.status)
--- a/tests/test_job.py
+++ b/tests/test_request_context.py
@@ -9,24 +9,26 @@
 
 import testtools
 
-from mustardfall.proxy import job as job_lib
 from mustardfall.proxy import messages
+from mustardfall.proxy import request_context as request_context_lib
 
-_USAGE = messages.Usage(prompt_tokens=900, most_output_tokens=50)
+_USAGE = messages.Usage(prompt_tokens=900, max_output_tokens=50)
 
 
-def _job(passed: int = 0, usage: messages.Usage | None = _USAGE, **more):
+def _context(
+    forwarded_events: int = 0, usage: messages.Usage | None = _USAGE, **more
+):
   engine = types.SimpleNamespace(tokens_per_event=5)
-  return job_lib.Job(
+  return request_context_lib.RequestContext(
       request=types.SimpleNamespace(usage=usage),
       body=b"",
       responder=None,
       route=None,
       service=types.SimpleNamespace(engine=engine),
       team=None,
-      arrived=0.0,
+      arrived_at=0.0,
       deadline=5.0,
-      joiner=types.SimpleNamespace(passed=passed),
+      sequencer=types.SimpleNamespace(forwarded_events=forwarded_events),
       fingerprint="",
       **more,
   )
@@ -35,16 +37,21 @@
 class UsedTest(testtools.TestCase):
 
   def test_lost_answer_is_not_billed_though_it_may_have_run(self):
-    self.assertEqual(0, _job(may_have_run=True).used)
+    self.assertEqual(0, _context(may_have_run=True).used_tokens)
 
   def test_prompt_counts_with_the_first_event(self):
-    self.assertEqual(905, _job(passed=1, may_have_run=True).used)
+    self.assertEqual(
+        905, _context(forwarded_events=1, may_have_run=True).used_tokens
+    )
 
   def test_never_more_than_was_reserved(self):
-    self.assertEqual(_USAGE.most, _job(passed=400, may_have_run=True).used)
+    self.assertEqual(
+        _USAGE.max_tokens,
+        _context(forwarded_events=400, may_have_run=True).used_tokens,
+    )
 
   def test_answer_in_one_piece_counts_its_prompt(self):
-    self.assertEqual(900, _job(answered_whole=True).used)
+    self.assertEqual(900, _context(delivered_whole=True).used_tokens)
 
   def test_plain_requests_use_nothing(self):
-    self.assertEqual(0, _job(usage=None, answered_whole=True).used)
+    self.assertEqual(0, _context(usage=None, delivered_whole=True).used_tokens)
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -16,19 +16,19 @@
   @given(st.integers(0, 12), st.lists(st.integers(1, 30)))
   def test_cuts_do_not_matter(self, count, cuts):
     data = _bytes(range(count))
-    splitter, events = streams.Splitter(), []
+    parser, events = streams.EventParser(), []
     for cut in cuts:
-      events += splitter.feed(data[:cut])
+      events += parser.feed(data[:cut])
       data = data[cut:]
-    events += splitter.feed(data)
+    events += parser.feed(data)
     self.assertEqual(list(range(count)), [event.id for event in events])
-    self.assertEqual(b"", splitter.rest)
+    self.assertEqual(b"", parser.incomplete)
 
   def test_half_an_event_is_not_passed_on(self):
-    splitter = streams.Splitter()
-    events = splitter.feed(_bytes([1]) + b"id: 2\ndat")
+    parser = streams.EventParser()
+    events = parser.feed(_bytes([1]) + b"id: 2\ndat")
     self.assertEqual([1], [event.id for event in events])
-    self.assertEqual(b"id: 2\ndat", splitter.rest)
+    self.assertEqual(b"id: 2\ndat", parser.incomplete)
 
 
 class JoinerTest(testtools.TestCase):
@@ -40,14 +40,14 @@
     cut = min(cut, count)
     first = list(range(1, cut + 1))
     second = list(range(max(1, cut + 1 - overlap), count + 1))
-    joiner = streams.Joiner(None)
+    sequencer = streams.EventSequencer(None)
     got = []
     for number in first + second:
       event = streams.Event(number, b"")
-      if joiner.take(event):
+      if sequencer.accept(event):
         got.append(number)
     self.assertEqual(list(range(1, count + 1)), got)
 
   def test_hole_is_an_error(self):
-    joiner = streams.Joiner(3)
-    self.assertRaises(ValueError, joiner.take, streams.Event(5, b""))
+    sequencer = streams.EventSequencer(3)
+    self.assertRaises(ValueError, sequencer.accept, streams.Event(5, b""))
