--- a/mustardfall/proxy/__init__.py
+++ b/mustardfall/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The data path: callers' HTTP in front, endpoints' HTTP behind."""
+"""The data path: an HTTP server for callers and an HTTP client for endpoints."""
--- a/mustardfall/proxy/admission.py
+++ b/mustardfall/proxy/admission.py
@@ -1,4 +1,4 @@
-"""Admits requests: route, key, tokens of the budget, and the bill after."""
+"""Admission control: matches the route, checks the API key, reserves and bills tokens."""
 
 import random
 
@@ -21,19 +21,20 @@
 from mustardfall.util import clock as clock_lib
 
 _MAX_UNCONFIRMED_S = 2.0
-"""A configuration that was not confirmed for longer denies nothing for good: a
-route or key may have been added meanwhile."""
+"""Age of the last confirmation above which an unknown route or API key is
+refused with 503 and Retry-After instead of 404 or 401: it may have been added
+to a newer configuration that this router has not read."""
 
 
 class Admission:
   """Decides whether a request may run, and bills it once.
 
   Args:
-    config: the router's settings, whole.
+    config: all of the router's settings.
     clock: the time source.
-    directory: the configuration.
-    accounts: the budgets.
-    tasks: where work that outlives a request runs.
+    directory: provides the configuration.
+    accounts: provides the budgets.
+    tasks: runs work that outlives a request.
     instruments: counters and histograms.
   """
 
@@ -62,7 +63,12 @@
       body: bytes,
       responder: http_server.Responder,
   ) -> request_context_lib.RequestContext:
-    """Returns the request as one to serve; raises `RefusalError`."""
+    """Returns the context of an admitted request.
+
+    Raises:
+      refusals.RefusalError: there is no configuration, no route matches or no
+        team holds the API key.
+    """
     arrived_at = self._clock.monotonic()
     config = self._directory.configuration
     if config is None:
@@ -97,10 +103,10 @@
     )
 
   def _require_current_configuration(self, version: int) -> None:
-    """Refuses for now what a newer configuration may allow."""
+    """Refuses with Retry-After if a newer configuration may allow the request."""
     age_s = self._directory.unconfirmed_s
     if age_s > _MAX_UNCONFIRMED_S:
-      retry_after_s = self.retry_after(_MAX_UNCONFIRMED_S)
+      retry_after_s = self.jittered_retry_after(_MAX_UNCONFIRMED_S)
       raise refusals.stale_configuration(version, age_s, retry_after_s)
 
   def _choose_service(self, route: configuration.Route) -> str:
@@ -110,7 +116,14 @@
     return self._random.choices(route.split, weights)[0].service
 
   async def reserve(self, context: request_context_lib.RequestContext) -> None:
-    """Sets the most that the request can use aside from its budget."""
+    """Reserves the most tokens that the request can use from its budget.
+
+    Requests that are no generation, or whose team has no prepaid budget,
+    reserve nothing.
+
+    Raises:
+      refusals.RefusalError: the budget cannot cover the request.
+    """
     usage = context.request.usage
     if usage is None or context.team is None or context.team.prepaid is None:
       return
@@ -131,14 +144,14 @@
   def _tokens_retry_after_s(
       self, context: request_context_lib.RequestContext
   ) -> float:
-    """Returns when it may be worth to ask for tokens again."""
+    """Returns the seconds after which tokens may be available again."""
     remaining_s = context.deadline - self._clock.monotonic()
-    return self.retry_after(
+    return self.jittered_retry_after(
         comeback.most_s(self._accounts.store_away, remaining_s)
     )
 
   def bill(self, context: request_context_lib.RequestContext) -> None:
-    """Settles the reservation with what the request used."""
+    """Settles the reservation with the tokens that the request used."""
     if context.reservation is None:
       return
     self._accounts.pool.settle(context.reservation, context.used_tokens)
@@ -146,6 +159,9 @@
         context.used_tokens, request_log.metric_attributes(context)
     )
 
-  def retry_after(self, most_s: float) -> float:
-    """Returns when to come back: spread, so that not all come at once."""
+  def jittered_retry_after(self, most_s: float) -> float:
+    """Returns a random Retry-After between half of `most_s` and `most_s`.
+
+    The jitter keeps callers that were refused together from retrying together.
+    """
     return round(most_s * (0.5 + 0.5 * self._random.random()), 3)
--- a/mustardfall/proxy/connection_pool.py
+++ b/mustardfall/proxy/connection_pool.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints, the store and other routers, kept for reuse."""
+"""A pool of kept-alive connections to endpoints, the store and other routers."""
 
 import collections
 import dataclasses
@@ -12,41 +12,42 @@
 from mustardfall.util import sockets
 
 _DEFAULT_IDLE_TIMEOUT_S = 4.0
-"""How long an idle connection is kept when its server names no time.
-Servers close idle ones after several seconds; a request that crosses such
-a close may have run, as far as the sender can tell."""
+"""Idle timeout of a connection whose server announced none. Servers close idle
+connections after several seconds. A request sent while the server closes may
+have run, as far as the sender can tell, so the pool closes first."""
 _IDLE_MARGIN_S = 1.0
-"""Kept this much shorter than the server says: it says whole seconds, and
-the request takes time to arrive."""
+"""Subtracted from the idle timeout that the server announces: it is rounded to
+whole seconds, and the next request takes time to arrive."""
 _MAX_IDLE_PER_ADDRESS = 8
-"""Idle connections kept per address; a router seldom has more requests
-than this at one endpoint, and each costs memory on both sides."""
+"""Most idle connections kept per address. A router seldom has more requests
+than this at one endpoint, and each connection costs memory on both sides."""
 
 
 @dataclasses.dataclass
 class Connection:
-  """One connection, used by one request at a time."""
+  """A pooled connection, used by one request at a time."""
 
   address: str
   stream: abc.SocketStream
   rest: bytes = b""
-  """Bytes received beyond the answers read so far."""
+  """Bytes received after the end of the last response that was read."""
   idle_until: float = 0.0
   used: bool = False
-  """Whether it has carried a request before."""
+  """Whether it has been released to the pool before."""
 
   async def close(self) -> None:
-    """Closes at once, so that the server sees that nobody waits."""
+    """Closes at once, so that the server can abort its work on the request."""
     with anyio.CancelScope(shield=True):
       await anyio.aclose_forcefully(self.stream)
 
 
 class ConnectionPool:
-  """Connections by address.
+  """Keeps idle connections by address and bounds those that are open.
 
   Args:
     clock: the time source.
-    most: connections open at a time, idle ones included.
+    max_open: number of open connections, idle ones included, from which a new
+      one replaces an idle one.
   """
 
   def __init__(
@@ -56,21 +57,21 @@
     self._max_open = max_open
     self._idle: dict[str, collections.deque[Connection]] = {}
     self.open: collections.Counter[str] = collections.Counter()
-    """Connections per address, idle ones included."""
+    """Number of open connections per address, idle ones included."""
     self.opened = 0
 
   async def acquire(
       self, address: str, timeout_s: float, force_new: bool = False
   ) -> Connection:
-    """Returns a connection to `address` that is thought to be sound.
+    """Returns an idle connection to `address` that looks usable, or a new one.
 
     Args:
       address: `HOST:PORT`.
-      timeout_s: how long a new connection may take, seconds.
-      force_new: open a new one even if an idle one is there.
+      timeout_s: timeout of opening a new connection, in seconds.
+      force_new: whether to open a new connection even if one is idle.
 
     Raises:
-      errors.EndpointUnreachableError: no connection could be made.
+      errors.EndpointUnreachableError: no connection could be opened.
     """
     while not force_new and (connection := self._pop(address)) is not None:
       if (
@@ -78,8 +79,8 @@
           and not sockets.is_readable(connection.stream)
       ):
         return connection
-      # Closed by its server, past its time, or an answer that nobody
-      # asked for is waiting on it: never to be used again.
+      # The connection is past its idle timeout, or readable: its server has
+      # closed it or sent an unrequested response. It must not be reused.
       await self.discard(connection)
     await self._evict_idle()
     try:
@@ -91,9 +92,10 @@
     return Connection(address, stream)
 
   async def _evict_idle(self) -> None:
-    """Closes idle connections while too many are open.
+    """Closes idle connections while the number of open ones is at the limit.
 
-    Those at work are as many as the requests, which are bounded elsewhere.
+    Connections in use are not closed: there are as many as requests, which
+    `resource_limiter` bounds.
     """
     while self._idle and self.open.total() >= self._max_open:
       address = next(iter(self._idle))
@@ -113,7 +115,13 @@
   async def release(
       self, connection: Connection, idle_timeout_s: float | None
   ) -> None:
-    """Keeps a connection whose last answer ended cleanly."""
+    """Returns a connection to the pool after a completely read response.
+
+    Args:
+      connection: the connection.
+      idle_timeout_s: seconds for which the server keeps it idle; None if the
+        server announced none.
+    """
     keep_s = (
         _DEFAULT_IDLE_TIMEOUT_S
         if idle_timeout_s is None
@@ -128,7 +136,7 @@
     idle.append(connection)
 
   async def discard(self, connection: Connection) -> None:
-    """Closes a connection for good."""
+    """Closes a connection without returning it to the pool."""
     self.open[connection.address] -= 1
     if not self.open[connection.address]:
       del self.open[connection.address]
@@ -140,11 +148,11 @@
       await self.discard(connection)
 
   async def close_idle(self) -> None:
-    """Closes idle connections that are past their time."""
+    """Closes idle connections that are past their idle timeout."""
     now = self._clock.monotonic()
     expired = []
-    # All are taken off before the first is closed: closing lets requests run,
-    # which would take others of them meanwhile.
+    # All are removed from the pool before the first is closed: closing yields
+    # to requests, which could otherwise acquire one of them meanwhile.
     for address, idle in list(self._idle.items()):
       expired += [
           connection for connection in idle if now >= connection.idle_until
--- a/mustardfall/proxy/crash_guard.py
+++ b/mustardfall/proxy/crash_guard.py
@@ -1,4 +1,4 @@
-"""Keeps requests that end endpoints from the endpoints."""
+"""Detects requests that crash endpoints, and refuses them while quarantined."""
 
 import logging
 
@@ -14,17 +14,17 @@
 logger = logging.getLogger(__name__)
 
 _CONNECT_S = 0.1
-"""How long an endpoint that broke an answer off is given to take a connection;
-a port that nobody listens on refuses it within some ms."""
+"""Timeout of the connection that probes an endpoint whose response broke off. A
+port on which nothing listens refuses a connection within a few ms."""
 
 
 class CrashGuard:
-  """Looks at how sends end, and refuses requests that are quarantined.
+  """Detects crashes of endpoints and refuses requests that are quarantined.
 
   Args:
     table: the quarantined requests.
-    verdicts: tells other routers.
-    links: connections to endpoints.
+    verdicts: reports crashes and successes to the other routers.
+    connection_pool: connections to endpoints.
   """
 
   def __init__(
@@ -43,7 +43,7 @@
     """Refuses a quarantined request.
 
     Raises:
-      refusals.RefusalError: it must not be sent to any endpoint now.
+      refusals.RefusalError: the request must not be sent to any endpoint now.
     """
     left_s = self._table.left_s(context.fingerprint)
     if not left_s:
@@ -53,7 +53,7 @@
     raise refusals.quarantined(left_s)
 
   def record_success(self, context: request_context_lib.RequestContext) -> None:
-    """Notes that an endpoint ran a request to its end."""
+    """Records that an endpoint completed a request."""
     self._verdicts.note_success(context.fingerprint)
 
   async def check_for_crash(
@@ -62,10 +62,11 @@
       row: endpoints.Row,
       ran_s: float,
   ) -> None:
-    """Notes that an answer broke off; counts it if the endpoint has ended.
+    """Reports a crash if the endpoint that broke off a response has ended.
 
-    Connections also break while the endpoint goes on: it has too many, a link
-    loses packets, an answer is lost. Only one that listens no more has ended.
+    Connections also break while the endpoint keeps running: it has too many of
+    them, packets are lost, or a response is lost. The endpoint counts as
+    crashed only if it refuses a new connection.
     """
     try:
       connection = await self._connection_pool.acquire(
--- a/mustardfall/proxy/endpoint_selector.py
+++ b/mustardfall/proxy/endpoint_selector.py
@@ -1,4 +1,4 @@
-"""Chooses a request's endpoint, and tells others what was sent there."""
+"""Chooses a request's endpoint and reports its load to other routers."""
 
 import random
 
@@ -12,14 +12,14 @@
 
 
 class EndpointAttempt:
-  """A request at an endpoint, from its sending to its end.
+  """One attempt at an endpoint: accounts for its load from start to end.
 
   Args:
-    job: the request.
-    place: where it goes.
+    context: the request.
+    place: the chosen endpoint and the expected times.
     directory: learns the endpoint's speed.
-    load_share: tells the routers of a small fleet.
-    trackers: tell who tracks the endpoint in a large one.
+    load_share: reports load to all routers of a small fleet.
+    trackers: reports load to the endpoint's trackers in a large fleet.
   """
 
   def __init__(
@@ -48,7 +48,7 @@
       )
 
   def record_response_time(self, took_s: float) -> None:
-    """Notes how long the head of the answer took, or did not come."""
+    """Records how long the response took to begin, or was waited for in vain."""
     if not self._is_generation:
       return
     place = self._place
@@ -57,12 +57,12 @@
       self._trackers.note_first(self._tracked_send, place.answer_s, took_s)
 
   def end_prefill(self) -> None:
-    """Notes that the prompt has been read."""
+    """Records that the endpoint has processed the prompt."""
     self._pending_prefill.end()
     self._load_share.note()
 
   def end(self, failed: bool) -> None:
-    """Notes that the request has left the endpoint."""
+    """Records that the endpoint no longer works on the request."""
     self._place.row.in_flight -= 1
     self.end_prefill()
     if self._tracked_send is not None:
@@ -70,13 +70,14 @@
 
 
 class EndpointSelector:
-  """Chooses endpoints.
+  """Chooses the endpoint of each attempt by expected response time.
 
   Args:
-    config: the router's settings, whole.
-    directory: the endpoints.
-    load_share: tells the routers of a small fleet.
-    trackers: ask and tell who tracks an endpoint in a large one.
+    config: all of the router's settings.
+    directory: provides the endpoints.
+    load_share: reports load to all routers of a small fleet.
+    trackers: query and report load in a large fleet, where two routers track
+      each endpoint.
   """
 
   def __init__(
@@ -95,7 +96,10 @@
   async def select(
       self, context: request_context_lib.RequestContext
   ) -> placement.Place | None:
-    """Returns the endpoint that should answer soonest; None without any."""
+    """Returns the endpoint expected to respond first; None if there is none.
+
+    Endpoints that the request was not sent to yet are preferred.
+    """
     rows = self._directory.endpoints.fitting(context.service.name, "")
     fresh = [row for row in rows if row.name not in context.tried_endpoints]
     prompt = request_context_lib.prompt_for_placement(context.request)
@@ -106,7 +110,7 @@
   async def _select_tracked(
       self, rows: list[endpoints.Row], prompt: placement.Prompt
   ) -> placement.Place | None:
-    """Asks how a few endpoints stand, and some more where these are busy."""
+    """Queries the load of a few endpoints, and of more while those are busy."""
     place, asked, standings = None, [], {}
     rounds = placement.candidates(rows, prompt, self._datacentre, self._random)
     for found in rounds:
@@ -122,14 +126,14 @@
     return place
 
   def record_unreachable(self, row: endpoints.Row) -> None:
-    """Notes that an endpoint took no connection."""
+    """Reports that an endpoint accepted no connection."""
     if self._trackers.is_used:
       self._trackers.note_end(trackers_lib.Sent(row.life, ""), failed=True)
 
   def start_attempt(
       self, context: request_context_lib.RequestContext, place: placement.Place
   ) -> EndpointAttempt:
-    """Notes that a request is on its way; returns what it is until its end."""
+    """Counts a request as sent to an endpoint; returns the attempt to be ended."""
     return EndpointAttempt(
         context, place, self._directory, self._load_share, self._trackers
     )
--- a/mustardfall/proxy/exchange.py
+++ b/mustardfall/proxy/exchange.py
@@ -1,7 +1,7 @@
-"""One request on one connection, and the answer that belongs to it.
+"""An HTTP exchange: one request on one connection, and its response.
 
-The connection is released for reuse only after an answer that ended
-cleanly; after any doubt it is closed.
+The connection is released for reuse only after a response that was read to its
+end; in all other cases it is closed.
 """
 
 from collections.abc import AsyncIterator, Callable
@@ -17,8 +17,8 @@
 _READ_BYTES = 65_536
 _MAX_HEAD_BYTES = 65_536
 _MAX_FOREIGN_RESPONSES = 4
-"""Answers of other requests passed over on one connection; more are no
-late answers but a server out of step."""
+"""Responses to other requests that are skipped on one connection. More of them
+are not late responses: the server's responses no longer match its requests."""
 
 _CONNECTION_ERRORS = (
     anyio.BrokenResourceError,
@@ -29,25 +29,25 @@
 
 
 class MemoryLimiter(Protocol):
-  """Where an answer is held until it is whole."""
+  """Limits the memory that buffered response bodies take."""
 
   def hold(self, size: int) -> bool:
-    """Holds `size` more bytes; returns False if there is no room now."""
+    """Allocates `size` more bytes; returns False if they are not free now."""
 
   async def hold_whole(self, size: int) -> bool:
-    """Holds `size` bytes once there is room; False: there never will be."""
+    """Allocates `size` bytes once they are free; returns False if never."""
 
 
 class Exchange:
-  """Sends a request on a connection and reads the answer.
+  """Sends a request on a connection and reads the response.
 
   Args:
-    links: where the connection goes back to.
-    link: the connection; owned until `close`.
+    connection_pool: the pool to which the connection is returned.
+    connection: the connection; owned by the exchange until `close`.
     method: e.g. `b"POST"`.
     target: path and query.
-    headers: all headers but the body's length.
-    body: the whole body.
+    headers: all headers except Content-Length.
+    body: the complete body.
   """
 
   def __init__(
@@ -72,16 +72,16 @@
     self._parser = self._new_parser()
     self._sent = False
     self._is_complete = False
-    """Whether the answer has been read to its very end."""
+    """Whether the response has been read to its end."""
     self._idle_timeout_s: float | None = None
     self._closes_connection = False
     self._content_length = 0
-    """Bytes of the answer's body, if it says so."""
+    """Content-Length of the response; 0 if there is none."""
     self.received = False
-    """Whether any byte came back."""
+    """Whether any byte was received."""
 
   def _new_parser(self) -> h11.Connection:
-    """Returns a parser that expects the answer to this request."""
+    """Returns a parser that expects the response to this request."""
     parser = h11.Connection(
         h11.CLIENT, max_incomplete_event_size=_MAX_HEAD_BYTES
     )
@@ -103,13 +103,13 @@
       decode: Callable[[int, list[messages.Header]], messages.ResponseHead],
       request_id: str,
   ) -> messages.ResponseHead:
-    """Sends the request and returns the head of its answer.
+    """Sends the request and returns the head of its response.
 
-    Answers that bear another request's id came late, where this one's
-    was expected: they are passed over.
+    A response that bears another request's id is a late response to an
+    earlier request on this connection; it is skipped.
 
     Raises:
-      errors.BrokenAnswerError: no answer; the request may have run.
+      errors.BrokenAnswerError: there is no response; the request may have run.
     """
     result: list[messages.ResponseHead | errors.BrokenAnswerError] = []
 
@@ -119,8 +119,8 @@
       except errors.BrokenAnswerError as exc:
         result.append(exc)
 
-    # Read while sending: a server may answer, or refuse, a long request
-    # before it has taken all of it, and would otherwise never be heard.
+    # Read while sending: a server may respond to a long request, or refuse it,
+    # before it has read all of it. Its response would otherwise be missed.
     async with anyio.create_task_group() as tg:
       tg.start_soon(self._send)
       await _read()
@@ -137,7 +137,7 @@
       await self._connection.stream.send(self._encode())
       self._sent = True
     except (anyio.BrokenResourceError, anyio.ClosedResourceError, OSError):
-      # The server may have answered before it closed; the reader tells.
+      # The server may have responded before it closed; `_read_head` finds out.
       return
 
   async def _read_head(
@@ -153,19 +153,21 @@
       while isinstance(event, h11.InformationalResponse):
         event = await self._next_event()
       if not isinstance(event, h11.Response):
-        raise errors.BrokenAnswerError("no answer before the end")
+        raise errors.BrokenAnswerError("connection ended before a response")
       head = decode(event.status_code, list(event.headers))
       if head.request_id in (request_id, ""):
         self._content_length = messages.content_length(event.headers)
         return head
       await self._skip_response(event)
-    raise errors.BrokenAnswerError("answers of other requests only")
+    raise errors.BrokenAnswerError("responses to other requests only")
 
   async def _skip_response(self, head: h11.Response) -> None:
-    """Reads another request's answer to its end."""
+    """Reads the response to another request to its end."""
     names = {name for name, _ in head.headers}
     if not names & {b"content-length", b"transfer-encoding"}:
-      raise errors.BrokenAnswerError("another request's answer, no length")
+      raise errors.BrokenAnswerError(
+          "response to another request, without length"
+      )
     while not isinstance(await self._next_event(), h11.EndOfMessage):
       pass
     rest, ended = self._parser.trailing_data
@@ -193,10 +195,10 @@
       raise errors.BrokenAnswerError(repr(exc)) from exc
 
   async def body(self) -> AsyncIterator[bytes]:
-    """Yields the answer's body; ends only where the body is whole.
+    """Yields the response body; returns only after the complete body.
 
     Raises:
-      errors.BrokenAnswerError: it ended before its end.
+      errors.BrokenAnswerError: the body was cut off.
     """
     while True:
       event = await self._next_event()
@@ -209,15 +211,15 @@
   async def read_body(
       self, max_bytes: int, memory: MemoryLimiter | None = None
   ) -> bytes:
-    """Returns the whole body.
+    """Returns the complete response body.
 
     Args:
-      max_bytes: bytes that it may have.
-      memory: where it is held; None: it is not counted.
+      max_bytes: the largest size allowed.
+      memory: limits the memory of the body; None for no limit.
 
     Raises:
-      errors.BrokenAnswerError: it ended early, is longer than `most`, or
-        there is no room for it.
+      errors.BrokenAnswerError: the body was cut off, is longer than
+        `max_bytes`, or does not fit into `memory`.
     """
     out = bytearray()
     length = min(self._content_length, max_bytes)
@@ -236,7 +238,7 @@
     return bytes(out)
 
   async def close(self) -> None:
-    """Gives the connection back, or closes it after any doubt."""
+    """Returns the connection to the pool if it is reusable, or closes it."""
     with anyio.CancelScope(shield=True):
       if self._may_reuse():
         await self._connection_pool.release(
@@ -249,6 +251,6 @@
     if not self._is_complete or not self._sent or self._closes_connection:
       return False
     if self._parser.their_state is not h11.DONE:
-      return False  # ended with the connection
+      return False  # the body ended with the connection
     rest, ended = self._parser.trailing_data
     return not rest and not ended
--- a/mustardfall/proxy/forwarder.py
+++ b/mustardfall/proxy/forwarder.py
@@ -161,7 +161,7 @@
     if scope.cancelled_caught:
       if context.may_have_run:
         raise refusals.timed_out()
-      raise refusals.not_sent_in_time(self._admission.retry_after(0.5))
+      raise refusals.not_sent_in_time(self._admission.jittered_retry_after(0.5))
 
   async def _run_attempts(
       self, context: request_context_lib.RequestContext
@@ -204,7 +204,7 @@
     elif context.may_have_run:
       raise refusals.response_lost()
     else:
-      raise refusals.no_endpoint(self._admission.retry_after(0.25))
+      raise refusals.no_endpoint(self._admission.jittered_retry_after(0.25))
 
   async def _attempt(
       self, context: request_context_lib.RequestContext, place: placement.Place
--- a/mustardfall/proxy/http_client.py
+++ b/mustardfall/proxy/http_client.py
@@ -1,4 +1,4 @@
-"""Short calls with whole answers: to the store and to other routers."""
+"""An HTTP client for short calls to the store and to other routers."""
 
 from typing import NamedTuple
 
@@ -11,28 +11,29 @@
 from mustardfall.proxy import messages
 
 _MAX_BODY_BYTES = 4_194_304
-"""Several times a page of the store, and the list of 4,900 endpoints."""
+"""Largest response body: several times a page of the store, and larger than the
+list of 4,900 endpoints."""
 _CONNECT_TIMEOUT_SHARE = 0.6
-"""Part of a call's time that opening a connection may take."""
+"""Share of a call's timeout that opening a connection may take."""
 _READ_TIMEOUT_S = 0.45
-"""An answer that has begun is given up after a pause of this length."""
+"""Longest pause in a response that has begun, before the call is given up."""
 _MAX_TRANSFER_S = 4.0
-"""Longest that the rest of an answer may take: 2.5 MB at 5 Mbit/s."""
+"""Longest that the body of a response may take: 2.5 MB at 5 Mbit/s."""
 
 
 class Response(NamedTuple):
-  """A call's answer."""
+  """The response to a call."""
 
   status: int
   body: bytes
 
 
 class HttpClient:
-  """Makes calls over kept connections.
+  """Makes calls over pooled connections.
 
   Args:
-    links: the connections.
-    overhead: told of each call.
+    connection_pool: the connections.
+    overhead: counts each call and its bytes.
     headers: sent with each call.
   """
 
@@ -55,19 +56,20 @@
       body: bytes,
       timeout_s: float,
   ) -> Response:
-    """Returns the answer to one call.
+    """Makes one call and returns the response.
 
     Args:
       address: `HOST:PORT`.
       method: the HTTP method.
       target: path and query.
-      body: sent as it is.
-      timeout_s: seconds until the answer begins; from then on the call goes
-        on for as long as bytes arrive.
+      body: sent unchanged.
+      timeout_s: seconds until the response begins; after that the call
+        continues while bytes arrive, for `_MAX_TRANSFER_S` at most.
 
     Raises:
-      errors.EndpointUnreachableError: not sent.
-      errors.BrokenAnswerError: sent, and no whole answer came in time.
+      errors.EndpointUnreachableError: the call was not sent.
+      errors.BrokenAnswerError: the call was sent, and no complete response
+        arrived in time.
     """
     self.calls += 1
     size = len(body)
@@ -98,13 +100,13 @@
       self._overhead.note(overhead_lib.name_call(target), size)
       await exchange.close()
     assert scope.cancelled_caught
-    raise errors.BrokenAnswerError(f"{target}: no answer in {timeout_s} s")
+    raise errors.BrokenAnswerError(f"{target}: no response in {timeout_s} s")
 
 
 async def _read_content(
     exchange: exchange_lib.Exchange, scope: anyio.CancelScope
 ) -> bytes:
-  """Returns an answer's body; moves the deadline on while bytes arrive."""
+  """Returns the response body; extends the deadline while bytes arrive."""
   transfer_deadline = anyio.current_time() + _MAX_TRANSFER_S
   content = bytearray()
   async for data in exchange.body():
--- a/mustardfall/proxy/refusals.py
+++ b/mustardfall/proxy/refusals.py
@@ -1,4 +1,4 @@
-"""The router's own final answers, and what each of them promises."""
+"""Error responses that the router itself sends, and what each guarantees."""
 
 from typing import Any
 
@@ -6,16 +6,16 @@
 
 
 class RefusalError(Exception):
-  """Ends a request with an answer of the router's own.
+  """Ends a request with an error response from the router itself.
 
-  408, 421, 429 and 503 promise that the request has not run and never
-  will; they may be raised only while that is certain.
+  Statuses 408, 421, 429 and 503 guarantee that the request has not run and
+  never will; they may be raised only while that is certain.
 
   Args:
     status: the HTTP status.
-    reason: for the caller and the log.
-    retry_after_s: when to come back; None: don't.
-    facts: what the decision was taken on, for the log.
+    reason: sent to the caller in the body, and logged.
+    retry_after_s: the value of Retry-After; None to send no such header.
+    facts: the data on which the decision was based, for the log.
   """
 
   def __init__(
@@ -33,7 +33,7 @@
 
 
 _STARTUP_RETRY_S = 0.5
-"""A starting router knows its configuration within about this time."""
+"""A starting router reads its configuration within about this time."""
 
 
 def no_configuration() -> RefusalError:
@@ -44,7 +44,7 @@
 def stale_configuration(
     version: int, age_s: float, retry_after_s: float
 ) -> RefusalError:
-  """It is not in the configuration known here, which may not be the newest."""
+  """The route or key is unknown here, but the configuration may be stale."""
   facts = {"version": version, "age_s": round(age_s, 3)}
   reason = "configuration may be out of date"
   return RefusalError(503, reason, retry_after_s, facts)
@@ -61,7 +61,7 @@
 
 
 def budget_exhausted(where: known.Whereabouts | None) -> RefusalError:
-  """The budget cannot cover the request, whatever comes back to it."""
+  """The budget cannot cover the request even if all reservations are returned."""
   facts = where._asdict() if where else None
   return RefusalError(402, "budget used up", facts=facts)
 
@@ -69,31 +69,31 @@
 def tokens_unavailable(
     where: known.Whereabouts | None, retry_after_s: float
 ) -> RefusalError:
-  """The budget's tokens are held elsewhere, or out of reach."""
+  """The budget's tokens are held by other routers, or the store is unreachable."""
   facts = where._asdict() if where else None
   return RefusalError(429, "budget cannot cover it now", retry_after_s, facts)
 
 
 def quarantined(retry_after_s: float) -> RefusalError:
-  """It ended the endpoints that ran it; this time it was not sent to any."""
+  """The request crashed endpoints that ran it; it was not sent to any now."""
   return RefusalError(503, "request is quarantined", retry_after_s)
 
 
 def no_endpoint(retry_after_s: float) -> RefusalError:
-  """No endpoint would take it."""
+  """No endpoint accepted the request."""
   return RefusalError(503, "no endpoint free", retry_after_s)
 
 
 def not_sent_in_time(retry_after_s: float) -> RefusalError:
-  """Its time was over before it was sent anywhere."""
+  """The deadline passed before the request was sent to an endpoint."""
   return RefusalError(503, "not sent in time", retry_after_s)
 
 
 def timed_out() -> RefusalError:
-  """Its time was over while an endpoint was at work on it."""
+  """The deadline passed while an endpoint was processing the request."""
   return RefusalError(504, "no answer in time")
 
 
 def response_lost() -> RefusalError:
-  """It may have run, and there is no whole answer."""
+  """The request may have run, and no complete response was received."""
   return RefusalError(502, "answer lost")
--- a/mustardfall/proxy/request_context.py
+++ b/mustardfall/proxy/request_context.py
@@ -1,4 +1,4 @@
-"""A request on its way through the router."""
+"""The state of a request while the router serves it."""
 
 import dataclasses
 
@@ -13,7 +13,7 @@
 
 @dataclasses.dataclass
 class RequestContext:
-  """A request on its way, and what is known of its sends."""
+  """An admitted request and the state of its attempts."""
 
   request: messages.Request
   body: bytes
@@ -23,31 +23,31 @@
   team: configuration.Team | None
   arrived_at: float
   deadline: float
-  """When the router answers at the latest, monotonic seconds."""
+  """Latest time of the router's response, in monotonic seconds."""
   sequencer: streams.EventSequencer
   fingerprint: str
-  """What it has in common with others like it, see `routing.quarantine`."""
+  """Identifies repetitions of the same request, see `routing.quarantine`."""
   reservation: allotment.Reservation | None = None
   sends: int = 0
   failed_connects: int = 0
   may_have_run: bool = False
   delivered_whole: bool = False
-  """Whether a success was answered in one piece."""
+  """Whether a successful response that is no event stream was passed on."""
   reserve_wait_s: float = 0.0
-  """How long it waited for tokens."""
+  """How long the request waited for its reservation of tokens."""
   tried_endpoints: set[str] = dataclasses.field(default_factory=set)
   endpoint: str = ""
   first_output_at: float | None = None
-  """When the first event or the answer came."""
+  """When the response, or its first event, was passed on; monotonic seconds."""
   error_response: tuple[messages.ResponseHead, bytes] | None = None
-  """An endpoint's own failure, passed on if no other try does better."""
+  """A 5xx response of an endpoint, passed on if no other attempt succeeds."""
 
   @property
   def used_tokens(self) -> int:
-    """Tokens of its budget that the request has used.
+    """Tokens to bill to the budget.
 
-    A request whose answer was lost before anything of it was passed on may
-    have run, but its team got nothing: its tokens stay with the budget.
+    A request whose response was lost before any of it was passed on may have
+    run, but its team received nothing: it is billed no tokens.
     """
     usage = self.request.usage
     delivered = bool(self.sequencer.forwarded_events) or self.delivered_whole
@@ -58,17 +58,19 @@
 
   @property
   def tokens_per_event(self) -> int:
-    """Most tokens in one event."""
+    """Most tokens in one event of the response."""
     engine = self.service.engine
     return engine.tokens_per_event if engine else 1
 
 
 class PendingPrefill:
-  """A prompt that an endpoint has still to read; ends once.
+  """A prompt that an endpoint has yet to process (prefill).
+
+  Its expected duration counts towards the endpoint's load until `end`.
 
   Args:
     row: the endpoint.
-    seconds: how long the reading should take.
+    seconds: the expected duration of the prefill.
   """
 
   def __init__(self, row: endpoints.Row, seconds: float) -> None:
@@ -77,16 +79,19 @@
     row.reading_s += seconds
 
   def end(self) -> None:
-    """Takes it off: the first token has come, or the request has gone."""
+    """Removes it from the endpoint's load; may be called again.
+
+    Called when the response begins or the request leaves the endpoint.
+    """
     self._row.reading_s -= self._seconds
     self._seconds = 0.0
 
 
 def prompt_for_placement(request: messages.Request) -> placement.Prompt:
-  """Returns the prefix that the request shares with others.
+  """Returns the prompt's shared prefix and the sizes, for cache-aware placement.
 
-  The last part is the request's own, so the one before it names the
-  longest prefix that others may have brought into a cache.
+  The last part of a prompt is unique to the request, so the part before it
+  identifies the longest prefix that other requests may have cached.
   """
   if len(request.parts) < 2:  # noqa: PLR2004
     return placement.NO_PROMPT
--- a/mustardfall/proxy/request_log.py
+++ b/mustardfall/proxy/request_log.py
@@ -1,4 +1,4 @@
-"""One log line, and the metrics, for each decision on a request."""
+"""Writes a log line and the metrics for each decision on a request."""
 
 import logging
 
@@ -13,7 +13,7 @@
 
 
 class RequestLog:
-  """Writes down what becomes of requests.
+  """Logs and counts the outcome of requests and of attempts.
 
   Args:
     clock: the time source.
@@ -32,7 +32,7 @@
       row: endpoints.Row,
       why: str,
   ) -> None:
-    """Notes a send that came to nothing."""
+    """Logs an attempt that failed and may be retried."""
     logger.info(
         "try failed",
         extra={
@@ -52,7 +52,7 @@
       refusal: refusals.RefusalError,
       context: request_context_lib.RequestContext | None,
   ) -> None:
-    """Notes an answer of the router's own; no job: it was not admitted."""
+    """Records a refusal; `context` is None if the request was not admitted."""
     logger.info(
         "request refused",
         extra={
@@ -76,7 +76,7 @@
       outcome: str,
       status: int,
   ) -> None:
-    """Notes how a request ended that an endpoint answered or its caller left."""
+    """Records a request that an endpoint answered or whose caller disconnected."""
     now = self._clock.monotonic()
     first_s = (
         None
@@ -113,7 +113,7 @@
 def metric_attributes(
     context: request_context_lib.RequestContext,
 ) -> dict[str, str]:
-  """Returns what histograms are kept by: the tenant and its class."""
+  """Returns the metric attributes of a request: its team and its class."""
   return {
       "customer": context.team.name if context.team else "",
       "class": f"{context.route.kind.name.lower()}-{context.route.priority}",
--- a/mustardfall/proxy/streams.py
+++ b/mustardfall/proxy/streams.py
@@ -1,20 +1,20 @@
-"""Streams of events: cut into whole events, joined when they resume."""
+"""Server-sent event streams: parsing, and resuming at another endpoint."""
 
 from typing import NamedTuple
 
 _MAX_EVENT_BYTES = 1_048_576
-"""An event longer than this is no event of ours."""
+"""Largest event accepted; endpoints send much smaller ones."""
 
 
 class Event(NamedTuple):
-  """One whole event of a stream, as received."""
+  """One complete event of a stream, as received."""
 
   id: int | None
   raw: bytes
 
 
 class EventParser:
-  """Cuts a stream's bytes into whole events."""
+  """Splits the bytes of a stream into complete events."""
 
   def __init__(self) -> None:
     self._incomplete = b""
@@ -23,7 +23,7 @@
     """Returns the events that `data` completes.
 
     Raises:
-      ValueError: the bytes are no events.
+      ValueError: an event is longer than `_MAX_EVENT_BYTES`.
     """
     *whole, self._incomplete = (self._incomplete + data).split(b"\n\n")
     if len(self._incomplete) > _MAX_EVENT_BYTES:
@@ -32,7 +32,7 @@
 
   @property
   def incomplete(self) -> bytes:
-    """Returns what is not a whole event yet."""
+    """The bytes of an event that is not complete yet."""
     return self._incomplete
 
 
@@ -45,10 +45,13 @@
 
 
 class EventSequencer:
-  """Passes each event on once and in order, over several endpoints.
+  """Ensures that the caller gets each event once and in order.
+
+  It spans all attempts of a request: a stream that broke off is resumed at
+  another endpoint, which may repeat events.
 
   Args:
-    last: the last event that the caller has already, if any.
+    last_event_id: the last event that the caller has already, if any.
   """
 
   def __init__(self, last_event_id: int | None) -> None:
@@ -56,11 +59,11 @@
     self.forwarded_events = 0
 
   def accept(self, event: Event) -> bool:
-    """Returns whether the caller still lacks `event`.
+    """Returns whether `event` is to be forwarded: the caller lacks it.
 
     Raises:
-      ValueError: events before it are missing; passing it on would leave
-        a hole that the caller cannot see.
+      ValueError: events before it are missing; forwarding it would leave a
+        gap that the caller cannot detect.
     """
     if event.id is None:
       return True
