--- a/mustardfall/gateway.py
+++ b/mustardfall/gateway.py
@@ -1,9 +1,10 @@
-"""The entry host's application object for deployments behind an adapter.
+"""The application object of a router on a platform.
 
-Like `router.Router`, but what it serves is described by the operators'
-configuration of a platform: routes, services, teams with prepaid budgets.
-The adapter gives it a store, a dialect and news of the deployment; all
-decisions are here and in the parts it wires.
+It corresponds to `router.Router`, but serves what the operators' configuration
+of the platform describes: routes, services, and teams with prepaid budgets. The
+platform's adapter provides the store's client, the header dialect and updates
+of configuration and endpoints. `Gateway` creates the components that do the
+rest and connects them.
 """
 
 from collections.abc import Awaitable, Callable
@@ -50,17 +51,18 @@
 logger = logging.getLogger(__name__)
 
 _DRAIN_DELAY_S = 3.0
-"""After SIGTERM, callers' idle connections are kept this long: the balancer
-asks every second and takes a host out after two misses, and whoever uses
-the connection meanwhile is told that it closes."""
+"""How long callers' idle connections stay open after SIGTERM. The load balancer
+checks readiness every second and removes a host after two failed checks; a
+caller that uses its connection meanwhile gets `Connection: close`."""
 _BUDGET_RETURN_SHARE = 0.095
-"""Kept of the time to stop for handing the budgets back: 0.7 s of 8 s, many
-times what the store takes when it answers. A stream that is cut for more is
-worse than tokens handed back late: the next life gives them back."""
+"""Share of the stop timeout reserved for returning budgets to the store: 0.7 s of
+8 s, many times what the store takes if it responds. Cutting streams off to
+reserve more would be worse than returning tokens late: the restarted process
+returns them."""
 
 
 class _InternalService(NamedTuple):
-  """Something served beside callers."""
+  """An internal port and its handler."""
 
   name: str
   handle: http_server.Handler
@@ -72,10 +74,10 @@
   """One router of a platform deployment.
 
   Args:
-    config: the router's settings, whole.
+    config: all of the router's settings.
     clock: the time source.
-    dialect: the deployment's headers.
-    make_store: makes the store's client from a caller.
+    dialect: decodes and encodes the deployment's headers.
+    make_store: creates the store's client from an HTTP client.
     store_headers: sent with each call to the store.
   """
 
@@ -184,7 +186,7 @@
     return [team.name for team in teams if team.prepaid is not None]
 
   def take_configuration(self, new: configuration.Configuration) -> None:
-    """Puts a newer configuration in force, and reduced budgets with it."""
+    """Applies a newer configuration; returns grants of budgets that it reduces."""
     old = self.directory.configuration
     if not self.directory.take_configuration(new) or old is None:
       return
@@ -202,16 +204,16 @@
           },
       )
       if (team.prepaid or 0) < (before.prepaid or 0):
-        # Tokens granted under the old limit may not fit under the new
-        # one; they go back, and are granted anew if they do.
+        # Tokens granted under the old limit may exceed the new one. They are
+        # returned, and granted again if the new limit allows.
         self.accounts.pool.retire(name)
 
   async def take_endpoints(self, hosts: list[endpoints.Host]) -> None:
-    """Takes a complete list of endpoints in.
+    """Applies a complete list of endpoints.
 
-    Idle connections to a server that has gone, or was started again, lead
-    nowhere: a request sent on one may have run, as far as is known, and
-    one that must not run twice is lost.
+    Idle connections to servers that were removed or restarted are closed. A
+    request sent on one would fail as one that may have run, and could not be
+    retried if it must not run twice.
     """
     before = self._lives_by_address()
     self.directory.take_endpoints(hosts)
@@ -225,7 +227,7 @@
 
   @property
   def ready(self) -> bool:
-    """Whether the balancer should send callers here."""
+    """Whether the load balancer should send callers to this router."""
     return self.directory.configuration is not None and not self.stopping
 
   async def run(
@@ -235,13 +237,14 @@
       stop: anyio.Event,
       stop_s: float,
   ) -> None:
-    """Serves until `stop` is set and all is handed back.
+    """Serves until `stop` is set and the budgets are returned.
 
     Args:
-      adapter_loops: the adapter's followers, run supervised.
-      ready: where the balancer asks.
+      adapter_loops: the adapter's loops that follow the deployment's state; run
+        under supervision.
+      ready: address and port of the load balancer's readiness checks.
       stop: set at SIGTERM.
-      stop_s: seconds from `stop` to the end, at most.
+      stop_s: most seconds from `stop` until this method returns.
     """
     async with anyio.create_task_group() as tasks:
       forwarder = forwarder_lib.Forwarder(
@@ -265,8 +268,8 @@
           self.clock,
           resource_limiter=self._resource_limiter,
       )
-      # Before the followers: once the configuration is known the balancer
-      # is told to send callers, who must find the port open.
+      # The callers' port is opened before the loops start: the router reports
+      # readiness as soon as the loops have read the configuration.
       listen = self.config.listen
       await tasks.start(self.http_server.serve, listen.host, listen.port)
       for loop in (
@@ -295,7 +298,7 @@
   def _serve_internal(
       self, tasks: abc.TaskGroup, ready: settings.Listen
   ) -> None:
-    """Serves other routers, the balancer's question and the metrics."""
+    """Serves other routers, the load balancer's readiness checks and metrics."""
     peer = self.config.peer_listen
     peer_handler = internal.PeerHandler(
         self.accounts,
@@ -332,7 +335,7 @@
       tasks.start_soon(server.serve, service.host, service.port)
 
   async def _run_periodic_tasks(self) -> None:
-    """Runs the systems over the tables each tick."""
+    """Updates and expires the state of the components each tick."""
     last = self.clock.monotonic()
     while True:
       await anyio.sleep(self.config.tick_s)
@@ -345,7 +348,7 @@
       last = now
 
   async def _stop(self, server: http_server.HttpServer, stop_s: float) -> None:
-    """Finishes what is in flight and hands the budgets back."""
+    """Finishes the requests in flight and returns the budgets."""
     stops_at = self.clock.monotonic() + stop_s
     self.stopping = True
     logger.info("stopping", extra={"in_flight": server.in_flight})
@@ -357,7 +360,7 @@
     with anyio.move_on_after(max(0.1, stops_at - self.clock.monotonic())):
       try:
         await self.accounts.hand_back()
-      except Exception:  # noqa: BLE001  the next life gives it back
+      except Exception:  # noqa: BLE001  the restarted process does it
         logger.exception("budgets not handed back")
       await self.accounts.writer.flush(budget_return_s)
     logger.info(
--- a/mustardfall/proxy/forwarder.py
+++ b/mustardfall/proxy/forwarder.py
@@ -1,8 +1,8 @@
-"""Serves one caller's request: admits, bills, sends it on and relays.
+"""Serves requests: admits them, forwards them to endpoints and relays responses.
 
-What may be told to a caller follows from what is known of its sends:
-before the first, or when each was refused by its endpoint, the request
-has not run and never will; after any other it may have run.
+The error response follows from the attempts that were made: if there was none,
+or each endpoint reported that it did not run the request, the request has not
+run and never will. After any other attempt it may have run.
 """
 
 from collections.abc import AsyncIterator, Iterator
@@ -37,48 +37,51 @@
 
 _OK = 200
 _FIRST_NON_SUCCESS = 300
-"""Statuses from here on are no success."""
+"""Statuses from 300 on are not successful."""
 _SERVER_ERROR = 500
 _MAX_BODY_BYTES = 8_388_608
-"""Answers that are not streams are read whole before they are passed on,
-so that a broken one is never begun; longer ones are refused."""
+"""Responses that are no event streams are read completely before they are
+passed on, so that no response is begun that then breaks off. Longer ones fail."""
 _CONNECT_S = 0.3
-"""A connection within a region takes 2 ms; one that meets a full queue is
-tried again by the kernel after a second, which is too late."""
+"""Timeout of connecting to an endpoint. Within a region it takes 2 ms; if the
+endpoint's accept queue is full, the kernel retries after a second, too late."""
 _MAX_FAILED_CONNECTS = 4
-"""Endpoints tried when connections fail: none of these ran anything."""
+"""Most failed connections per request; they are no attempts, since the endpoints
+did not run anything."""
 _RESPONSE_TIMEOUT_FACTOR = 1.2
-"""Times its objective that an answer may take before another endpoint is
-tried: what comes later is worth less, and the route's timeout (some three
-objectives) leaves time for one more."""
+"""Multiple of the route's latency objective after which another endpoint is
+tried. A later response is worth less, and the route's timeout (about three
+objectives) leaves time for one more attempt."""
 _FIRST_EVENT_TIMEOUT_FACTOR = 2.0
-"""The same for a stream's first event. Longer: the prompt would be read
-again, and callers stay for four objectives."""
+"""The same for the head of a streaming route's response. It is longer because
+another endpoint has to process the prompt again, and callers wait for four
+objectives."""
 _STREAM_STALL_S = 1.0
-"""A pause in a stream after which it is resumed elsewhere. Engines pause
-for tens of ms, callers leave after two seconds or more."""
+"""Pause in a stream after which it is resumed at another endpoint. Engines pause
+for tens of ms; callers disconnect after two seconds or more."""
 _DEADLINE_MARGIN_S = 0.03
-"""Kept of a request's time for the way back and the router's own work."""
+"""Subtracted from a request's deadline for the router's own work and for sending
+the response to the caller."""
 
 
-class _RetryableError(Exception):  # noqa: N818  a step of the loop, not a failure
-  """The try failed and another may be made."""
+class _RetryableError(Exception):
+  """The attempt failed, and another may be made."""
 
 
 class Forwarder:
   """Serves callers' requests.
 
   Args:
-    config: the router's settings, whole.
+    config: all of the router's settings.
     clock: the time source.
-    dialect: knows the deployment's headers.
-    directory: the configuration and the endpoints.
-    accounts: the budgets.
-    links: connections to endpoints.
-    tasks: where work that outlives a request runs.
+    dialect: decodes and encodes the deployment's headers.
+    directory: provides the configuration and the endpoints.
+    accounts: provides the budgets.
+    connection_pool: connections to endpoints.
+    tasks: runs work that outlives a request.
     instruments: counters and histograms.
-    placer: chooses endpoints.
-    guard: keeps requests that end endpoints from them.
+    endpoint_selector: chooses the endpoint of each attempt.
+    crash_guard: refuses requests that crash endpoints.
   """
 
   def __init__(
@@ -115,7 +118,7 @@
       body: bytes,
       responder: http_server.Responder,
   ) -> None:
-    """Answers one request; cancelled when its caller leaves."""
+    """Responds to one request; cancelled when its caller disconnects."""
     try:
       context = self._admission.admit(request, body, responder)
       self._retry_budget(context.service.name).deposit()
@@ -142,7 +145,7 @@
     return budget
 
   def _retry_burst(self) -> float:
-    """Returns the second sends that this router may save up for a service."""
+    """Returns the most retries that this router may accumulate per service."""
     return retries.part_of_burst(
         self._config.proxy.retry_burst,
         members_lib.CLOSE_FLEET,
@@ -198,7 +201,11 @@
   async def _finish_unserved(
       self, context: request_context_lib.RequestContext
   ) -> None:
-    """Gives the final answer when no further try may be made."""
+    """Sends the final response when no further attempt may be made.
+
+    Raises:
+      refusals.RefusalError: no endpoint sent an error response to pass on.
+    """
     if context.error_response is not None and not context.responder.started:
       await self._respond(context, *context.error_response)
     elif context.may_have_run:
@@ -209,11 +216,11 @@
   async def _attempt(
       self, context: request_context_lib.RequestContext, place: placement.Place
   ) -> None:
-    """Sends the request to one endpoint and relays its answer.
+    """Sends the request to one endpoint and relays its response.
 
     Raises:
-      _Again: it failed, and the caller has not been answered.
-      refusals.RefusalError: it failed for good.
+      _RetryableError: the attempt failed, and the response is not complete.
+      refusals.RefusalError: the request failed and must not be retried.
     """
     row = place.row
     context.tried_endpoints.add(row.name)
@@ -289,7 +296,7 @@
             self._dialect.decode_response, context.request.id
         )
     except errors.BrokenAnswerError:
-      # It may have failed at once, which says nothing of its speed.
+      # An early failure says nothing about the endpoint's speed.
       waited_s = self._clock.monotonic() - sent_at
       if waited_s > place.answer_s:
         attempt.record_response_time(waited_s)
@@ -358,7 +365,7 @@
     except ValueError as exc:
       raise errors.BrokenAnswerError(str(exc)) from exc
     if parser.incomplete:
-      raise errors.BrokenAnswerError("ended within an event")
+      raise errors.BrokenAnswerError("stream ended within an event")
     self._crash_guard.record_success(context)
     await self._write(context, head, b"")
     await context.responder.end()
@@ -369,7 +376,7 @@
       context: request_context_lib.RequestContext,
       exchange: exchange_lib.Exchange,
   ) -> AsyncIterator[bytes]:
-    """Yields a stream's bytes; a stream that stalls is broken."""
+    """Yields the bytes of a stream; raises if the stream stalls."""
     chunks = aiter(exchange.body())
     while True:
       with self._attempt_timeout(context, _STREAM_STALL_S):
@@ -390,10 +397,10 @@
   def _attempt_timeout(
       self, context: request_context_lib.RequestContext, limit_s: float
   ) -> Iterator[None]:
-    """Ends a wait on an endpoint when another may be tried instead.
+    """Limits a wait for an endpoint if another attempt may follow.
 
-    Without another try the wait goes on to the deadline: silence alone is
-    no reason to fail a request.
+    Otherwise the wait lasts until the request's deadline: a slow endpoint alone
+    is no reason to fail the request.
     """
     another = (
         context.route.repeatable and context.sends < context.route.max_attempts
@@ -424,7 +431,7 @@
   ) -> None:
     self._request_log.log_refusal(request, refusal, context)
     if responder.started:
-      return  # cut off: what was passed on must not look complete
+      return  # the connection is cut off: the response must not look complete
     headers = self._dialect.encode_refusal(request.id, refusal.retry_after_s)
     body = refusal.reason.encode()
     await responder.respond(refusal.status, headers, body)
--- a/mustardfall/proxy/http_server.py
+++ b/mustardfall/proxy/http_server.py
@@ -1,7 +1,8 @@
-"""The HTTP front: callers' connections, one request at a time on each.
+"""The HTTP/1.1 server: serves one request at a time on each connection.
 
-It checks what callers may send, reads requests whole, tells the handler
-when a caller leaves, and never lets a failed answer look complete.
+It rejects invalid and ambiguous requests, reads request bodies completely,
+cancels the handler when the caller disconnects, and cuts off the connection
+under a failed response, so that the response never looks complete.
 """
 
 from collections.abc import Awaitable, Callable, Iterator
@@ -25,18 +26,19 @@
 
 _READ_BYTES = 65_536
 _MAX_PIPELINED_BYTES = 65_536
-"""Bytes of later requests read while one is served. The read goes on only
-to notice that the caller has left; past this it waits, which bounds memory."""
+"""Bytes of pipelined requests that are read while a request is served. The
+server reads on only to detect a disconnect; beyond this it stops reading, which
+bounds the memory."""
 _LINGER_S = 0.5
-"""How long bytes are still taken after the last answer. Closing while
-unread bytes wait resets the connection, and the caller may lose the answer
-that it has not read yet."""
+"""How long bytes are still read after the last response. Closing a connection
+with unread bytes resets it, and the caller may lose a response that it has not
+read yet."""
 _RETRY_AFTER_S = 1.0
-"""When a caller that found no room may try again, seconds. It will mostly meet
-another router."""
+"""Retry-After of callers refused for lack of connections or memory, in seconds.
+Mostly the load balancer sends the retry to another router."""
 _ACCEPT_RETRY_S = 0.1
-"""Pause after a connection could not be accepted. Without descriptors the
-call fails at once, again and again, until some are free."""
+"""Pause after accepting a connection failed. Without free descriptors the call
+fails immediately each time, until some are free."""
 _FOLDED_LINE = re.compile(rb"\n[ \t]")
 _CONTENT_LENGTH = re.compile(rb"\ncontent-length[ \t]*:", re.IGNORECASE)
 _TRANSFER_ENCODING = re.compile(rb"\ntransfer-encoding[ \t]*:", re.IGNORECASE)
@@ -48,9 +50,9 @@
 
 
 class Responder:
-  """Writes the answer to one request.
+  """Writes the response to one request.
 
-  An answer that was started and not ended is cut off by closing the
+  A response that was started and not ended is cut off by closing the
   connection, so that it never looks complete.
   """
 
@@ -60,21 +62,21 @@
     self.ended = False
 
   def hold(self, size: int) -> bool:
-    """Holds `size` bytes of an answer; returns False if there is no room."""
+    """Allocates `size` bytes for a response; returns False if they don't fit."""
     return self._connection.allocate_response(size)
 
   async def hold_whole(self, size: int) -> bool:
-    """Holds a whole answer of `size` bytes, as soon as there is room.
+    """Allocates a complete response of `size` bytes, waiting until it fits.
 
     Returns:
-      False: there will never be.
+      False if it can never fit.
     """
     return await self._connection.wait_and_allocate_response(size)
 
   async def respond(
       self, status: int, headers: list[messages.Header], body: bytes = b""
   ) -> None:
-    """Sends a whole answer."""
+    """Sends a complete response."""
     self.started = True
     length = (b"content-length", b"%d" % len(body))
     head = h11.Response(
@@ -85,7 +87,7 @@
     self.ended = True
 
   async def start(self, status: int, headers: list[messages.Header]) -> None:
-    """Sends the head of an answer whose body follows in chunks."""
+    """Sends the head of a response whose body follows in chunks."""
     self.started = True
     chunked = (b"transfer-encoding", b"chunked")
     await self._connection.send(
@@ -116,15 +118,16 @@
 
 
 class HttpServer:
-  """Accepts callers' connections and hands their requests on.
+  """Accepts connections and calls the handler for each request on them.
 
   Args:
-    dialect: knows the deployment's headers.
-    handler: serves one request; cancelled when its caller leaves.
-    limits: returns the limits in force.
+    dialect: decodes and encodes the deployment's headers.
+    handler: serves one request; cancelled when the caller disconnects.
+    limits: returns the current limits on requests.
     clock: the time source.
-    name: what is served, for the log.
-    room: what connections may hold; left out: as much as there is.
+    name: whom the server serves, for the log.
+    resource_limiter: limits connections and memory; by default, only the
+      process's descriptors limit the connections.
   """
 
   def __init__(
@@ -148,8 +151,8 @@
     self.draining = False
     self.in_flight = 0
     self._idle: dict[anyio.CancelScope, resource_limiter_lib.Allocation] = {}
-    """Connections that wait for a request, the longest first: the scopes of
-    their waits, and what they hold."""
+    """Connections that wait for a request, longest waiting first: the cancel
+    scope of each wait and the connection's allocation."""
 
   async def serve(
       self,
@@ -158,7 +161,7 @@
       *,
       task_status: abc.TaskStatus[None] = anyio.TASK_STATUS_IGNORED,
   ) -> None:
-    """Serves until cancelled; has started once it accepts connections."""
+    """Serves until cancelled; reports as started once the port is open."""
     listeners = await sockets.listen(self._name, host, port)
     task_status.started()
     async with anyio.create_task_group() as tasks:
@@ -168,7 +171,7 @@
   async def _accept(
       self, listener: abc.SocketListener, tasks: abc.TaskGroup
   ) -> None:
-    """Accepts connections until cancelled, whatever becomes of one."""
+    """Accepts connections until cancelled, also after a failed accept."""
     async with listener:
       while True:
         try:
@@ -192,8 +195,8 @@
       elif not self.resource_limiter.is_refusal_limit_reached:
         await connection.refuse_connection()
     except* _DISCONNECT_ERRORS:
-      pass  # the caller has gone; what it asked for was cancelled
-    except* Exception:  # noqa: BLE001  one connection must not end the rest
+      pass  # the caller has disconnected, and its request was cancelled
+    except* Exception:  # noqa: BLE001  a fault must not end other connections
       logger.exception("connection failed")
     finally:
       allocation.close()
@@ -212,14 +215,18 @@
       size: int,
       share: float = 1.0,
   ) -> bool:
-    """Holds `size` more bytes, idle connections making room."""
+    """Allocates `size` more bytes, closing idle connections as needed.
+
+    Returns:
+      False if they do not fit although no connection is idle.
+    """
     while not allocation.allocate(size, share):
       if not self._close_longest_idle():
         return False
     return True
 
   def _close_longest_idle(self) -> bool:
-    """Closes the connection that has waited longest; False: none waits."""
+    """Closes the connection idle for longest; returns False if none is idle."""
     for scope, allocation in self._idle.items():
       del self._idle[scope]
       allocation.evict()
@@ -231,7 +238,7 @@
   def wait_for_request(
       self, timeout_s: float, allocation: resource_limiter_lib.Allocation
   ) -> Iterator[None]:
-    """Limits a wait for a request, in which the connection may be closed."""
+    """Limits the wait for a request; the connection may be closed meanwhile."""
     with anyio.move_on_after(timeout_s) as scope:
       self._idle[scope] = allocation
       try:
@@ -240,13 +247,13 @@
         self._idle.pop(scope, None)
 
   def start_draining(self) -> None:
-    """Closes idle connections; those with a request end after it."""
+    """Closes idle connections; the others are closed after their request."""
     self.draining = True
     for scope in list(self._idle):
       scope.cancel()
 
   async def wait_until_drained(self, timeout_s: float) -> bool:
-    """Waits for requests in flight; returns whether all ended."""
+    """Waits for requests in flight; returns whether all of them ended."""
     with anyio.move_on_after(timeout_s):
       while self.in_flight:
         await anyio.sleep(0.02)
@@ -266,13 +273,13 @@
     self._stream = stream
     self._connection_allocation = allocation
     self._request_allocation = server.resource_limiter.new_allocation()
-    """What the request being read or served holds."""
+    """Memory of the request that is being read or served."""
     self._parser = self._new_parser()
     self._head_bytes = bytearray()
-    """The head being read, as received."""
+    """The request head being read, as received."""
     self._caller_closed = False
     self.closes_after_response = False
-    """Whether the connection closes after the answer being sent."""
+    """Whether the connection is closed after the current response."""
 
   def _new_parser(self) -> h11.Connection:
     return h11.Connection(
@@ -284,7 +291,7 @@
     """Serves requests until the connection ends."""
     while await self._serve_one():
       rest, _ = self._parser.trailing_data
-      # A parser per request: the limits may have changed meanwhile.
+      # Each request gets a new parser, as the limits may have changed.
       self._parser = self._new_parser()
       self._head_bytes = bytearray(rest)
       if rest:
@@ -293,7 +300,7 @@
       await self._close_lingering()
 
   async def _serve_one(self) -> bool:
-    """Serves one request; returns whether another may follow."""
+    """Serves one request, or refuses it; returns whether another may follow."""
     responder = Responder(self)
     try:
       return await self._serve_next(responder)
@@ -336,7 +343,7 @@
       await responder.respond(exc.status, headers, str(exc).encode())
 
   async def _read_head(self) -> h11.Request | None:
-    """Returns the next request's head; None when there is none."""
+    """Returns the head of the next request; None if the connection ends."""
     limits = self._server.limits()
     if not self._head_bytes and not await self._wait_for_bytes(
         limits.idle_timeout.total_seconds()
@@ -351,7 +358,7 @@
     raise errors.BadRequestError("head took too long", 408)
 
   async def _wait_for_bytes(self, timeout_s: float) -> bool:
-    """Waits for a request to begin; returns whether one did."""
+    """Waits for the first bytes of a request; returns whether any arrived."""
     if self._server.draining:
       return False
     with self._server.wait_for_request(timeout_s, self._connection_allocation):
@@ -383,11 +390,11 @@
     return event
 
   def _check_head(self) -> None:
-    """Refuses heads that two programs might read differently.
+    """Refuses heads that allow request smuggling.
 
-    An endpoint that sees another end of the body than this router would
-    run a request that was hidden inside it. The parser mends folded
-    lines and repeated lengths, so they are looked for in the raw bytes.
+    An endpoint that finds the end of the body elsewhere than this router would
+    run a request hidden in the body. The parser accepts folded lines and
+    repeated Content-Length headers, so the raw bytes are searched for them.
     """
     end = self._head_bytes.find(b"\r\n\r\n")
     head = bytes(self._head_bytes if end < 0 else self._head_bytes[: end + 2])
@@ -405,12 +412,20 @@
     )
 
   def _allocate(self, size: int) -> None:
-    """Holds `size` more bytes for the request; raises `errors.BusyError`."""
+    """Allocates `size` more bytes for the request.
+
+    Raises:
+      errors.BusyError: they do not fit.
+    """
     if not self._server.allocate(self._request_allocation, size):
       raise errors.BusyError("no room", _RETRY_AFTER_S)
 
   def _allocate_body(self, size: int) -> None:
-    """Holds `size` bytes of the request's body; raises `errors.BusyError`."""
+    """Allocates the copies of `size` bytes of the request's body.
+
+    Raises:
+      errors.BusyError: they do not fit into the share for bodies.
+    """
     copies, share = (
         resource_limiter_lib.BODY_COPIES * size,
         resource_limiter_lib.BODIES_SHARE,
@@ -421,16 +436,16 @@
       raise errors.BusyError("no room for a body", _RETRY_AFTER_S)
 
   def allocate_response(self, size: int) -> bool:
-    """Holds `size` bytes of an answer; returns False if they don't fit."""
+    """Allocates `size` bytes for a response; returns False if they don't fit."""
     return self._server.allocate(
         self._request_allocation, resource_limiter_lib.BODY_COPIES * size
     )
 
   async def wait_and_allocate_response(self, size: int) -> bool:
-    """Holds an answer, waiting for room; returns False if it never fits.
+    """Allocates a complete response; returns False if it can never fit.
 
-    Answers that each held what has come of them so far would fill the room
-    together, and none would ever be whole.
+    It waits until the complete response fits. Responses that were allocated
+    piece by piece could together exhaust the memory before any is complete.
     """
     resource_limiter = self._server.resource_limiter
     if not resource_limiter.fits_when_empty(
@@ -442,7 +457,7 @@
     return True
 
   async def refuse_connection(self) -> None:
-    """Tells the caller, before it is read, that there is no room for it."""
+    """Refuses the caller with 503 without reading its request."""
     await self._refuse(
         Responder(self), errors.BusyError("full", _RETRY_AFTER_S)
     )
@@ -477,7 +492,7 @@
       tg.cancel_scope.cancel()
 
   async def _watch_for_disconnect(self, scope: anyio.CancelScope) -> None:
-    """Cancels the request when its caller leaves."""
+    """Cancels the request when its caller disconnects."""
     pipelined = 0
     try:
       while pipelined < _MAX_PIPELINED_BYTES:
@@ -491,13 +506,13 @@
       scope.cancel()
 
   async def send(self, *events: h11.Event) -> None:
-    """Sends events of an answer."""
+    """Sends events of a response."""
     data = b"".join(self._parser.send(event) or b"" for event in events)
     if data:
       await self._stream.send(data)
 
   async def _close_lingering(self) -> None:
-    """Ends the connection so that the last answer still arrives."""
+    """Shuts the connection down so that the last response still arrives."""
     if self._caller_closed:
       return
     with (
--- a/mustardfall/proxy/internal.py
+++ b/mustardfall/proxy/internal.py
@@ -1,7 +1,7 @@
-"""The routers' own port: other routers' calls, readiness, metrics.
+"""Handlers of internal ports: calls of other routers, readiness and metrics.
 
-Small JSON over the same HTTP front as the callers'. Its requests need no
-id, key or deadline, so it has a dialect of its own.
+They use the same HTTP server as callers. Internal requests need no id, API key
+or deadline, so they have a `Dialect` of their own.
 """
 
 from collections.abc import Awaitable, Callable
@@ -17,16 +17,16 @@
 logger = logging.getLogger(__name__)
 
 CallHandler = Callable[[dict[str, Any]], Awaitable[Any]]
-"""Takes a JSON body, returns the JSON answer."""
+"""Takes the JSON body of a call and returns the JSON response."""
 
 
 class Dialect:
-  """Plain HTTP without headers of meaning."""
+  """Translates plain HTTP, in which no header has a meaning."""
 
   def decode_request(
       self, method: bytes, target: bytes, headers: list[messages.Header]
   ) -> messages.Request:
-    """Returns the request; only its path and headers matter."""
+    """Returns the request with its method, target, path and headers."""
     return messages.Request(
         id="",
         method=method,
@@ -50,11 +50,11 @@
 
 
 class PeerHandler:
-  """Serves other routers' calls.
+  """Serves the calls of other routers.
 
   Args:
-    accounts: the budgets.
-    extra: further paths.
+    accounts: provides the budgets.
+    extra: handlers of further paths.
   """
 
   def __init__(
@@ -75,7 +75,7 @@
       body: bytes,
       responder: http_server.Responder,
   ) -> None:
-    """Answers one call."""
+    """Responds to one call."""
     handler = self._handlers.get(request.path)
     if handler is None:
       await responder.respond(404, [])
@@ -110,10 +110,10 @@
 
 
 class ReadyHandler:
-  """Tells the balancer whether to send callers here.
+  """Serves the load balancer's readiness checks.
 
   Args:
-    is_ready: asked at each call.
+    is_ready: returns whether the router is ready; called for each check.
   """
 
   def __init__(self, is_ready: Callable[[], bool]) -> None:
@@ -125,13 +125,13 @@
       body: bytes,
       responder: http_server.Responder,
   ) -> None:
-    """Answers 200 or 503."""
+    """Responds with 200 if the router is ready, otherwise with 503."""
     del request, body
     await responder.respond(200 if self._is_ready() else 503, [])
 
 
 class TextHandler:
-  """Serves a text, e.g. metrics, at any path.
+  """Serves a text, such as the metrics, at any path.
 
   Args:
     render: returns the text.
@@ -146,7 +146,7 @@
       body: bytes,
       responder: http_server.Responder,
   ) -> None:
-    """Answers with the text as it is now."""
+    """Responds with the current text."""
     del request, body
     plain = (b"content-type", b"text/plain; version=0.0.4")
     await responder.respond(200, [plain], self._render().encode())
--- a/mustardfall/proxy/messages.py
+++ b/mustardfall/proxy/messages.py
@@ -1,7 +1,7 @@
-"""Requests and answers as the data path sees them, whatever their headers.
+"""Requests and responses, independent of a deployment's header names.
 
-A deployment's header names are known to its `Dialect` only; these types
-say what the headers mean.
+Only a deployment's `Dialect` knows the names of its headers; these types hold
+their meaning.
 """
 
 from collections.abc import Iterable
@@ -12,7 +12,7 @@
 
 
 def content_length(headers: Iterable[Header]) -> int:
-  """Returns the length of the body that headers announce, 0: they do not."""
+  """Returns the Content-Length in `headers`; 0 if there is none."""
   for name, value in headers:
     if name == b"content-length":
       return int(value)
@@ -20,14 +20,14 @@
 
 
 class PromptPart(NamedTuple):
-  """A part of a prompt; requests that share it name the same id."""
+  """A part of a prompt; requests that share the part use the same id."""
 
   id: str
   tokens: int
 
 
 class Usage(NamedTuple):
-  """What a generation takes of a budget."""
+  """Tokens that a generation may take from its budget."""
 
   prompt_tokens: int
   max_output_tokens: int
@@ -39,7 +39,7 @@
 
 
 class Request(NamedTuple):
-  """A caller's request, its body apart."""
+  """A caller's request without its body."""
 
   id: str
   method: bytes
@@ -49,21 +49,21 @@
   path: str
   api_key: str
   caller_timeout_s: float | None
-  """Seconds that the caller waits; None: it did not say."""
+  """Seconds that the caller waits for a response; None if it did not say."""
   usage: Usage | None
-  """None: not a generation."""
+  """None if the request is not a generation."""
   parts: tuple[PromptPart, ...]
   last_event: int | None
-  """The last event the caller has, when it resumes a stream."""
+  """Id of the last event that the caller has; None if it resumes no stream."""
   headers: tuple[Header, ...]
-  """What goes on to the endpoint as it is."""
+  """Headers that are forwarded to the endpoint unchanged."""
 
 
 class ForwardingInfo(NamedTuple):
-  """What the router adds when it sends a request to an endpoint."""
+  """What the router adds to a request that it forwards to an endpoint."""
 
   endpoint: str
-  """The endpoint's id: another server at its address must not run it."""
+  """The endpoint's id; another server at its address must not run the request."""
   team: str
   time_left_s: float
   priority: int
@@ -71,7 +71,7 @@
 
 
 class Load(NamedTuple):
-  """How busy an endpoint says it is."""
+  """The load that an endpoint reports."""
 
   running: int
   waiting: int
@@ -79,27 +79,27 @@
 
 
 class ResponseHead(NamedTuple):
-  """The head of an endpoint's answer."""
+  """Status and headers of an endpoint's response."""
 
   status: int
   request_id: str
   signed: bool
-  """Whether it bears the mark that endpoints put on their own answers."""
+  """Whether it bears the signature that endpoints add to their own responses."""
   not_run: bool
-  """Whether the endpoint says that it did not run the request."""
+  """Whether the endpoint reports that it did not run the request."""
   misdirected: bool
-  """Whether another server than the one meant is at the address."""
+  """Whether a server other than the intended one responded."""
   has_content_encoding: bool
-  """Whether the body is encoded, which no endpoint of ours does."""
+  """Whether the body is encoded; the deployment's endpoints never do that."""
   is_event_stream: bool
-  """Whether the body is a stream of events."""
+  """Whether the body is a stream of server-sent events."""
   load: Load | None
   idle_timeout_s: float | None
-  """Seconds that the endpoint keeps an idle connection, if it says."""
+  """Seconds for which the endpoint keeps an idle connection, if it says so."""
   closes_connection: bool
-  """Whether the connection closes after this answer."""
+  """Whether the endpoint closes the connection after this response."""
   headers: tuple[Header, ...]
-  """What goes on to the caller as it is."""
+  """Headers that are passed on to the caller unchanged."""
 
 
 class Dialect(Protocol):
@@ -108,10 +108,10 @@
   def decode_request(
       self, method: bytes, target: bytes, headers: list[Header]
   ) -> Request:
-    """Returns what a caller sent.
+    """Decodes the head of a caller's request.
 
     Raises:
-      errors.BadRequestError: a header is missing or makes no sense.
+      errors.BadRequestError: a header is missing or invalid.
     """
 
   def encode_request(
@@ -120,9 +120,9 @@
     """Returns the headers to send to an endpoint."""
 
   def decode_response(self, status: int, headers: list[Header]) -> ResponseHead:
-    """Returns the head of an endpoint's answer."""
+    """Decodes the head of an endpoint's response."""
 
   def encode_refusal(
       self, request_id: str, retry_after_s: float | None
   ) -> list[Header]:
-    """Returns the headers of an answer of the router's own."""
+    """Returns the headers of an error response that the router itself sends."""
--- a/mustardfall/proxy/resource_limiter.py
+++ b/mustardfall/proxy/resource_limiter.py
@@ -1,8 +1,8 @@
-"""What callers may hold of the process: connections and memory.
+"""Resource-based admission control: limits callers' connections and memory.
 
-The host ends a process that takes more memory than it may, and with it all
-requests at work; one that has no descriptor left reaches neither the store nor
-an endpoint. So both are counted, and who finds no room is refused.
+The host kills a process that exceeds its memory limit, and with it all requests
+in flight. A process without free file descriptors can reach neither the store
+nor an endpoint. So both are counted, and callers beyond the limits are refused.
 """
 
 import logging
@@ -15,43 +15,46 @@
 logger = logging.getLogger(__name__)
 
 _BASE_PROCESS_BYTES = 72_000_000
-"""Kept for the program itself, its tables and caches."""
+"""Memory reserved for the program itself, its tables and caches."""
 _USABLE_MEMORY_SHARE = 0.85
-"""Part of the host's limit that is planned with: allocators hold more than is
-in use."""
+"""Share of the host's memory limit that may be in use; allocators hold more
+memory than the program uses."""
 _MIN_BYTES = 16_000_000
-"""Room on the smallest hosts, where the above leaves less."""
+"""Memory for callers on the smallest hosts, where the above leaves less."""
 _RESERVED_FILES = 400
-"""Descriptors kept for the program's files (200 of them count as such), the
-store, and other routers."""
+"""File descriptors reserved for the program's own files (200 of them), the
+store and other routers."""
 _INTERNAL_CONNECTIONS = 150
-"""Of those, for other routers' calls and the balancer's questions."""
+"""Those of the reserved descriptors that serve calls of other routers and the
+load balancer's checks."""
 _INTERNAL_BYTES = 24_000_000
-"""Held for those, out of what is kept for the program itself."""
+"""Memory for the internal connections, part of `_BASE_PROCESS_BYTES`."""
 _RESERVED_FILES_SHARE = 0.3
-"""The same where there are few, as a part of all."""
+"""Upper limit of `_RESERVED_FILES` as a share of all descriptors, for processes
+that have few."""
 _REFUSED_CONNECTIONS_RATIO = 1.25
-"""Times the connections that may be open up to which one more is told that it
-is refused; each of these takes a descriptor for up to half a second."""
+"""Multiple of the connection limit up to which further connections get a 503;
+beyond it they are closed without a response. Sending a refusal takes a
+descriptor for up to half a second."""
 CONNECTION_BYTES = 16_384
-"""Held by an idle connection: socket, buffers, a task that waits."""
+"""Memory of an idle connection: socket, buffers and a waiting task."""
 REQUEST_OVERHEAD_BYTES = 65_536
-"""Held by a request at work beside its bodies: tasks, parsers, a connection to
-its endpoint, and what a caller who does not read leaves in buffers."""
+"""Memory of a request in flight besides its bodies: tasks, parsers, a connection
+to its endpoint, and the buffers filled for a caller that does not read."""
 BODIES_SHARE = 0.75
-"""Part of the room that requests' bodies may fill, so that those without one
-still find some."""
+"""Share of the memory that request bodies may take, so that requests without a
+body can still be served."""
 BODY_COPIES = 3
-"""Times that a body is in memory at its peak: as received, as one piece, as
-sent on."""
+"""Number of copies of a body in memory at its peak: the received pieces, the
+joined body, and the data being sent."""
 
 
 class ResourceLimiter:
-  """Counts connections and bytes that are held for callers.
+  """Counts the connections and the memory of callers against their limits.
 
   Args:
-    most_bytes: held at most.
-    most_connections: open at most.
+    max_bytes: the memory limit.
+    max_connections: the limit on open connections.
   """
 
   def __init__(self, max_bytes: float, max_connections: int) -> None:
@@ -63,67 +66,67 @@
 
   @property
   def is_exhausted(self) -> bool:
-    """Whether there is one connection too many, or none can be served."""
+    """Whether a connection is over the limit, or no further request would fit."""
     if self.connections > self.max_connections:
       return True
     return not self.fits(REQUEST_OVERHEAD_BYTES)
 
   @property
   def is_refusal_limit_reached(self) -> bool:
-    """Whether there are too many to tell each that there are."""
+    """Whether there are too many connections to send each refused one a 503."""
     return self.connections > self.max_connections * _REFUSED_CONNECTIONS_RATIO
 
   @property
   def log_fields(self) -> dict[str, int]:
-    """What is held, for the log."""
+    """Connections and memory in use, as fields of a log line."""
     return {"connections": self.connections, "held_bytes": self.held_bytes}
 
   def new_allocation(self) -> "Allocation":
-    """Returns what one connection holds, to be closed with it."""
+    """Returns an empty allocation, to be closed with its connection or request."""
     return Allocation(self)
 
   def fits(self, size: int, share: float = 1.0) -> bool:
-    """Whether `size` more bytes may be held within a part of the room."""
+    """Whether `size` more bytes fit into a share of the memory limit."""
     return self.held_bytes + size <= self._max_bytes * share
 
   def fits_when_empty(self, size: int) -> bool:
-    """Whether `size` bytes would fit if nothing else were held."""
+    """Whether `size` bytes would fit if nothing else were allocated."""
     return size <= self._max_bytes
 
   def adjust(self, size: int) -> None:
-    """Counts `size` more bytes as held; fewer where it is negative."""
+    """Adds `size`, which may be negative, to the allocated bytes."""
     self.held_bytes += size
     if size < 0:
       self._freed.set()
       self._freed = anyio.Event()
 
   async def wait(self) -> None:
-    """Waits until somebody holds less."""
+    """Waits until memory is freed."""
     await self._freed.wait()
 
 
 class Allocation:
-  """What one connection, or the request on it, holds; close it in the end."""
+  """The resources of one connection, or of the request on it, until `close`."""
 
   def __init__(self, limiter: ResourceLimiter) -> None:
     self._resource_limiter = limiter
     self._bytes = 0
     self._is_connection = False
     self.evicted = False
-    """Whether the connection was closed to make room for others."""
+    """Whether the connection was closed to free resources for others."""
 
   def add_connection(self) -> None:
-    """Counts a connection, which has been accepted already."""
+    """Counts a connection, which has already been accepted."""
     self._is_connection = True
     self._resource_limiter.connections += 1
     self._grow(CONNECTION_BYTES)
 
   def allocate(self, size: int, share: float = 1.0) -> bool:
-    """Holds `size` more bytes; returns False, holding none, if they don't fit.
+    """Allocates `size` more bytes; returns False, without effect, if too many.
 
     Args:
       size: bytes.
-      share: the part of the room that they must fit into.
+      share: the share of the memory limit into which they must fit.
     """
     if not self._resource_limiter.fits(size, share):
       return False
@@ -135,12 +138,12 @@
     self._resource_limiter.adjust(size)
 
   def evict(self) -> None:
-    """Holds nothing any more, in favour of others."""
+    """Frees everything, for the benefit of other callers."""
     self.evicted = True
     self.close()
 
   def close(self) -> None:
-    """Holds nothing any more; may be called again."""
+    """Frees everything; may be called again."""
     if self._is_connection:
       self._is_connection = False
       self._resource_limiter.connections -= 1
@@ -148,7 +151,7 @@
 
 
 def new_caller_limiter(limits: settings.Limits) -> ResourceLimiter:
-  """Returns the room that a host's limits leave for callers."""
+  """Returns a limiter with what a host's limits leave for callers."""
   limiter = ResourceLimiter(_max_bytes(limits), _max_connections(limits))
   logger.info(
       "room for callers",
@@ -162,7 +165,7 @@
 
 
 def new_internal_limiter() -> ResourceLimiter:
-  """Returns the room for other routers, the balancer and metrics."""
+  """Returns the limiter for other routers, the load balancer and metrics."""
   return ResourceLimiter(_INTERNAL_BYTES, _INTERNAL_CONNECTIONS)
 
 
@@ -178,7 +181,8 @@
 def _max_connections(limits: settings.Limits) -> int:
   """Returns how many connections callers may have open.
 
-  Each request at work needs a second one, to its endpoint.
+  It is half of the available descriptors: each request in flight needs a second
+  connection, to its endpoint.
   """
   files, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
   if limits.files:
