--- a/mustardfall/gateway.py
+++ b/mustardfall/gateway.py
@@ -361,7 +361,7 @@
       try:
         await self.accounts.hand_back()
       except Exception:  # noqa: BLE001  the restarted process does it
-        logger.exception("budgets not handed back")
+        logger.exception("budgets not returned to the store")
       await self.accounts.writer.flush(budget_return_s)
     logger.info(
         "stopped",
--- a/mustardfall/proxy/forwarder.py
+++ b/mustardfall/proxy/forwarder.py
@@ -335,7 +335,9 @@
       context.error_response = (head, body)
       raise _RetryableError(f"status {head.status}")
     if context.responder.started:
-      raise errors.BrokenAnswerError(f"status {head.status} for the rest")
+      raise errors.BrokenAnswerError(
+          f"status {head.status} instead of the rest of the stream"
+      )
     await self._respond(context, head, body)
 
   async def _respond(
--- a/tests/platformcase.py
+++ b/tests/platformcase.py
@@ -1,4 +1,4 @@
-"""A gateway before the emulated platform, all in one process on loopback."""
+"""A test fixture: the emulated platform and gateways in one process, on loopback."""
 
 import contextlib
 import dataclasses
@@ -29,7 +29,7 @@
 
 
 def route(name: str, prefix: str, kind: str, **more: Any) -> dict[str, Any]:
-  """Returns a route as the operator writes it."""
+  """Returns a route of the operator's configuration."""
   return {
       "name": name,
       "host": HOST,
@@ -69,7 +69,7 @@
 
 @dataclasses.dataclass
 class Answer:
-  """What a caller got; `whole` is whether the answer came to its end."""
+  """The response that a caller received; `whole` is whether it was complete."""
 
   status: int
   headers: dict[str, str]
@@ -78,7 +78,7 @@
 
 
 class Caller:
-  """One connection of a caller."""
+  """A caller's connection to a gateway."""
 
   def __init__(self, stream) -> None:
     self.stream = stream
@@ -87,7 +87,7 @@
   async def send(
       self, path: str, id_: str, body: bytes = b"", **more: str
   ) -> None:
-    """Sends a request; `more` are headers, with `_` for `-`."""
+    """Sends a request; `more` are further headers, with `_` for `-`."""
     named = {"host": HOST, "request-id": id_, "credential": KEY}
     named |= {"deadline-ms": "2000"}
     named |= {k.replace("_", "-"): v for k, v in more.items()}
@@ -99,7 +99,7 @@
     await self.stream.send(data + self.parser.send(h11.EndOfMessage()))
 
   async def receive(self) -> Answer:
-    """Returns the next answer."""
+    """Returns the next response."""
     head, body = None, bytearray()
     while True:
       try:
@@ -125,7 +125,7 @@
 
 
 class Environment:
-  """The store, servers and one gateway."""
+  """The emulated store and servers, and a gateway."""
 
   def __init__(self, clock: clock_lib.Clock) -> None:
     self.store = store_lib.Store(clock)
@@ -135,7 +135,7 @@
     self.port = 0
     self.gateway_stopped = False
     self.crash_count = 0
-    """Servers that requests have ended."""
+    """Number of servers that a request has crashed."""
     self.store_port = 0
     self._tasks = None
 
@@ -160,7 +160,7 @@
   async def restart_crashed_servers(
       self, crash_on: bytes, delay_s: float = 0.3
   ) -> None:
-    """Has servers that a request ends come back under new ids."""
+    """Replaces each crashed server, after a delay, by one with a new id."""
     for number in itertools.count():
       ended = [
           server for server in self.servers.values() if server.ended.is_set()
@@ -182,7 +182,7 @@
   async def add_gateway(
       self, name: str, stop: anyio.Event | None = None, started=None
   ) -> gateway_lib.Gateway:
-    """Starts a gateway on a host of its own."""
+    """Starts a gateway as if on another host; returns it when it is ready."""
     found = site(self.store_port, name)
     clock = clock_lib.SystemClock()
     gateway = gateway_lib.Gateway(
@@ -206,14 +206,14 @@
     return gateway
 
   async def call(self, path: str, id_: str, **more: Any) -> Answer:
-    """Makes one request on a connection of its own."""
+    """Makes one request on a new connection."""
     async with self.caller() as caller:
       await caller.send(path, id_, **more)
       return await caller.receive()
 
   @contextlib.asynccontextmanager
   async def caller(self):
-    """Yields a caller's connection."""
+    """Yields a new connection of a caller."""
     async with await anyio.connect_tcp("127.0.0.1", self.port) as stream:
       yield Caller(stream)
 
@@ -225,7 +225,7 @@
 
 
 def site(store_port: int, name: str = "front-1") -> site_lib.Site:
-  """Returns the settings that the platform would give a host."""
+  """Returns the settings that the platform would give to a host."""
   given = {
       "node": name,
       "ip": "127.0.0.1",
@@ -245,7 +245,7 @@
 async def running(
     servers: tuple[str, ...] = ("i-1",), started=None, **fields: Any
 ):
-  """Runs the platform and a gateway; yields the `Environment`."""
+  """Runs the emulated platform and a gateway; yields the `Environment`."""
   clock = clock_lib.SystemClock()
   env = Environment(clock)
   store_port = fleet.free_port()
--- a/tests/processcase.py
+++ b/tests/processcase.py
@@ -1,7 +1,7 @@
-"""A router as a process of its own before the emulated platform.
+"""A test fixture: the emulated platform and a router in a separate process.
 
-For faults that would end a process: the test is another one, and sees what
-callers, the balancer and an on-call engineer see.
+It is for faults that could end the router's process. The test sees only what
+callers, the load balancer and an on-call engineer see.
 """
 
 import contextlib
@@ -31,7 +31,7 @@
 
 
 class Router:
-  """One router process."""
+  """A router in a process of its own."""
 
   def __init__(self, folder: pathlib.Path, store_port: int) -> None:
     self.settings_path = folder / "local.json"
@@ -43,12 +43,12 @@
         "proxy": {},
     }
     self.max_files: int | None = None
-    """Lowers the process's own limit on descriptors."""
+    """If set, the process's limit on open file descriptors."""
     self._popen: subprocess.Popen | None = None
 
   @property
   def port(self) -> int:
-    """Where callers connect."""
+    """The port for callers."""
     return int(self.settings["listen"]["front"].rpartition(":")[2])
 
   @property
@@ -61,7 +61,7 @@
     self.settings_path.write_text(json.dumps(settings))
 
   def start(self) -> None:
-    """Starts the process; does not wait for it."""
+    """Starts the process without waiting until it is ready."""
     if not self.settings_path.exists():
       self.write_settings(self.settings)
     self.router_settings_path.write_text(yaml.safe_dump(self.router_settings))
@@ -86,22 +86,22 @@
 
   @property
   def is_running(self) -> bool:
-    """Whether the process has not ended."""
+    """Whether the process has been started and has not ended."""
     return self._popen is not None and self._popen.poll() is None
 
   @property
   def log(self) -> str:
-    """What the process has logged so far."""
+    """The process's log so far."""
     return self.log_path.read_text(errors="replace")
 
   @property
   def memory_mb(self) -> float:
-    """Memory that the process has in use now."""
+    """The process's resident memory, in MB."""
     pages = int(pathlib.Path(f"/proc/{self.pid}/statm").read_text().split()[1])
     return pages * resource.getpagesize() / 1e6
 
   async def wait_until_ready(self, timeout_s: float = _START_TIMEOUT_S) -> None:
-    """Waits until the balancer would send callers here."""
+    """Waits until the router's readiness check succeeds."""
     host, _, port = self.settings["listen"]["ready"].rpartition(":")
     deadline = time.monotonic() + timeout_s
     while not await _answers_ok(host, int(port)):
@@ -110,7 +110,7 @@
       await anyio.sleep(0.05)
 
   async def wait_until_logged(self, text: str, timeout_s: float = 10.0) -> None:
-    """Waits for a log line."""
+    """Waits until the log contains `text`."""
     deadline = time.monotonic() + timeout_s
     while text not in self.log:
       if time.monotonic() > deadline:
@@ -142,7 +142,7 @@
 
 
 def _settings(store_port: int) -> dict[str, Any]:
-  """Returns the platform's settings file of a host, whole."""
+  """Returns a complete settings file of the platform for a host."""
   listen = {
       role: f"127.0.0.1:{fleet.free_port()}"
       for role in ("front", "ready", "control")
@@ -163,7 +163,7 @@
 
 
 class Environment:
-  """The store, one server and one router process."""
+  """The emulated store, one server and one router process."""
 
   def __init__(
       self,
@@ -177,7 +177,7 @@
 
   @contextlib.asynccontextmanager
   async def caller(self):
-    """Yields a caller's connection."""
+    """Yields a new connection of a caller."""
     where = ("127.0.0.1", self.router.port)
     async with await anyio.connect_tcp(*where) as stream:
       yield platformcase.Caller(stream)
@@ -185,7 +185,7 @@
   async def call(
       self, path: str, id_: str, body: bytes = b"", **more: str
   ) -> platformcase.Answer:
-    """Makes one request on a connection of its own."""
+    """Makes one request on a new connection."""
     async with self.caller() as caller:
       await caller.send(path, id_, body, **more)
       return await caller.receive()
@@ -196,13 +196,13 @@
   """Runs the platform; yields an `Environment` whose router is not started yet.
 
   Args:
-    **limits: what the operator's configuration limits, as on the wire.
+    **limits: `limits` of the operator's configuration to override.
   """
   store = store_lib.Store(clock_lib.SystemClock())
   store_port = fleet.free_port()
   document = platformcase.configuration()
   for route in document["routes"]:
-    # Many requests at once on a busy machine take their time.
+    # Many concurrent requests are slow on a busy machine.
     route["timeout_ms"] = 20_000
   document["limits"] |= limits
   store.put("op/config", document)
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -1,8 +1,8 @@
-"""A request that ends the servers that run it is kept from the others.
+"""Quarantine of a request that crashes the servers that run it.
 
-Pattern: one request, the same path, caller and body, comes again and again at
-any router; each server that begins to run it ends and is back after a while.
-Those that run beside it, and those that come after it, are the ones to serve.
+The same request (path, caller and body) is sent repeatedly to any router. Each
+server that begins to run it crashes and is replaced after a delay. Requests that
+run at the same time or later must still be served.
 """
 
 import anyio
@@ -11,7 +11,7 @@
 from tests import test_gateway
 
 _MAX_CRASHES = 3
-"""Servers that may end before the request is known."""
+"""Servers that may crash before the request is quarantined."""
 _POISON = b"crash"
 
 
@@ -23,7 +23,7 @@
       return await caller.receive()
 
   async def _send_repeatedly(self, env, times, body=_POISON, path="/look/a"):
-    """Sends the same request again and again; returns the answers."""
+    """Sends the same request repeatedly; returns the responses."""
     answers = []
     for number in range(times):
       answers.append(await self._send(env, number, body, path))
@@ -36,7 +36,7 @@
 
   @test_gateway.in_environment(servers=tuple(f"i-{n}" for n in range(8)))
   async def test_no_more_servers_end_than_it_takes_to_know(self, env):
-    """Guards against a request that ends one server after the other."""
+    """Guards against a request that crashes one server after another."""
     self._poison(env)
     async with anyio.create_task_group() as tg:
       tg.start_soon(env.restart_crashed_servers, _POISON)
@@ -48,7 +48,7 @@
 
   @test_gateway.in_environment(servers=tuple(f"i-{n}" for n in range(8)))
   async def test_others_are_served_beside_it(self, env):
-    """Guards against refusing what only ran beside such a request."""
+    """Guards against refusing requests that only ran beside such a request."""
     await test_gateway.fill_retry_budget(env)
     self._poison(env)
     answers = []
@@ -73,7 +73,7 @@
 
   @test_gateway.in_environment(servers=("i-1", "i-2", "i-3"))
   async def test_lost_answers_of_servers_that_go_on_do_not_count(self, env):
-    """Guards against refusing a request for connections that break."""
+    """Guards against a quarantine because of connections that break."""
     for server in env.servers.values():
       server.behaviour.cut_after = 0
     for answer in await self._send_repeatedly(env, 6):
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,9 +1,9 @@
-"""Nothing from outside ends a router.
+"""No outside cause ends a router's process.
 
-What callers saw: processes "ended by themselves", and with each all of its
-open streams were cut and what it held of the budgets was lost for a while.
-Each test brings one thing about that lies outside the router: a signal, a
-settings file, a port, callers. It must refuse, wait or run on, and say so.
+When a process ends, all its open streams are cut off and the budget tokens that
+it holds are unavailable for a while. Each test applies one outside cause: a
+signal, a settings file, an occupied port, callers, the store or other routers.
+The router must refuse, wait or keep running, and log it.
 """
 
 import collections
@@ -31,11 +31,11 @@
 
   @processcase.in_environment()
   async def test_settings_signal_while_the_program_starts(self, env):
-    # The settings file changes just after a process was started. The signal
-    # that says so came before its handler stood and ended the process. Sent
-    # all through the start from the first moment at which the program's own
-    # code runs; before that the interpreter itself takes some 20 ms, and many
-    # times that on a busy machine.
+    # The settings file changes just after the process started. A SIGHUP that
+    # arrived before its handler was installed ended the process. It is sent
+    # repeatedly during the start, from the first moment at which the program's
+    # own code runs. The interpreter's start before that takes some 20 ms, and
+    # many times that on a busy machine.
     env.router.start()
     with anyio.fail_after(10):
       while not env.router.ignores(signal.SIGHUP):
@@ -50,8 +50,8 @@
 
   @processcase.in_environment()
   async def test_signals_while_the_program_stops(self, env):
-    # The operator changes the settings of a host that is being stopped, and
-    # an impatient supervisor asks again. It ends as if asked once.
+    # While a router stops, the settings change (SIGHUP) and the supervisor
+    # repeats its SIGTERM. The router must stop cleanly all the same.
     env.router.start()
     await env.router.wait_until_ready()
     env.router.signal(signal.SIGTERM)
@@ -73,8 +73,8 @@
 
   @processcase.in_environment()
   async def test_file_of_another_shape_at_reload(self, env):
-    # A list where a table should be, fields that are null, or a file cut off:
-    # the router went down with what it served. It keeps what it has.
+    # A list instead of an object, fields that are null, or a truncated file
+    # ended the router. It must keep its current settings.
     env.router.start()
     await env.router.wait_until_ready()
     whole = env.router.settings
@@ -98,8 +98,8 @@
 
   @processcase.in_environment()
   async def test_file_that_makes_no_sense_at_the_start_is_waited_for(self, env):
-    # The file is being written while the process starts. It ended, and was
-    # started again, and ended.
+    # The file is still being written while the process starts. The process
+    # used to end, and again after each restart. It must wait for a valid file.
     env.router.write_settings({"node": "front-1", "listen": None})
     env.router.start()
     await env.router.wait_until_logged("settings rejected")
@@ -136,8 +136,8 @@
 
   @processcase.in_environment()
   async def test_metrics_port_that_is_taken(self, env):
-    # Nothing promises that this port is free. The router never got ready, and
-    # ended. Callers need no metrics.
+    # The platform does not reserve this port. With the port occupied the router
+    # never became ready, and ended. It must serve callers without metrics.
     port = fleet.free_port()
     env.router.router_settings["proxy"] = {"metrics_port": port}
     occupied = self._occupy(port)
@@ -153,7 +153,7 @@
 
   @processcase.in_environment()
   async def test_ports_that_are_taken_for_a_moment(self, env):
-    # The process before still holds its ports. The new one waits for them.
+    # The previous process still occupies its ports. The new one must wait.
     listen = env.router.settings["listen"]
     occupied = [
         self._occupy(int(a.rpartition(":")[2])) for a in listen.values()
@@ -175,10 +175,10 @@
 
   @processcase.in_environment()
   async def test_more_connections_than_descriptors(self, env):
-    # Callers open more connections than the process has descriptors. Each
-    # accept failed, the accepting loop ended with it, and the whole process.
-    # Now the longest idle make room; those that find none are told to come
-    # back, and the router's own calls keep theirs.
+    # Callers open more connections than the process has file descriptors. A
+    # failed accept ended the accept loop, and with it the process. The router
+    # must close the longest idle connections, refuse callers with 503 if there
+    # are none, and keep descriptors for its own calls.
     env.router.max_files = 120
     env.router.start()
     await env.router.wait_until_ready()
@@ -195,8 +195,8 @@
 
   @processcase.in_environment()
   async def test_more_requests_at_work_than_descriptors(self, env):
-    # All connections have a request at work, so none can make room. Who comes
-    # later gets a 503 with when to come back, not a connection that hangs.
+    # All connections have a request in flight, so none can be closed. Later
+    # callers must get a 503 with Retry-After, not a connection that hangs.
     env.router.max_files = 120
     env.server.behaviour.work_s = 1.5
     env.router.start()
@@ -214,7 +214,7 @@
     self.assertTrue(env.router.is_running, env.router.log[-3000:])
     statuses = collections.Counter(status for status, _ in results)
     self.assertTrue(statuses[200] >= 20, statuses)
-    # Past a fourth more than there is room for they are closed unheard.
+    # More than a quarter above the limit they are closed without a response.
     self.assertTrue(statuses[0] <= 15, statuses)
     self.assertEqual(150, statuses[200] + statuses[503] + statuses[0], statuses)
     self.assertEqual([], [s for s in results if s[0] == 503 and not s[1]])
@@ -225,7 +225,7 @@
 class MemoryTest(testtools.TestCase):
 
   async def _hold_back_last_byte(self, caller, number, size, release, statuses):
-    """Sends a request whose last byte waits for `last`; notes its answer."""
+    """Sends a request, its last byte after `release`; counts the status."""
     head = (
         f"POST /book/a HTTP/1.1\r\nhost: {platformcase.HOST}\r\n"
         f"request-id: b{number}\r\ncredential: {platformcase.KEY}\r\n"
@@ -233,7 +233,7 @@
     )
 
     async def _send():
-      # A caller that is refused may go on sending until it is cut off.
+      # A refused caller may keep sending until its connection is cut off.
       with contextlib.suppress(OSError, anyio.BrokenResourceError):
         await caller.stream.send(head.encode() + b"x" * (size - 1))
         await release.wait()
@@ -246,9 +246,9 @@
 
   @processcase.in_environment(max_body_bytes=1_000_000, idle_timeout_ms=60_000)
   async def test_bodies_that_are_not_whole_stay_within_the_limit(self, env):
-    # 400 callers send 0.9 MB each and hold the last byte back: 436 MB on a
-    # host that ends a process at 150. Those that fit are served, the others
-    # are told at once to come back, before their bodies are read.
+    # 400 callers send 0.9 MB each except for the last byte: 436 MB on a host
+    # that kills a process at 150 MB. Requests that fit must be served, and the
+    # others refused with 503 before their bodies are read.
     env.router.settings["limits"]["memory_mb"] = 150
     env.router.start()
     await env.router.wait_until_ready()
@@ -265,7 +265,7 @@
               release,
               statuses,
           )
-          # Paced, so that this process hears a refusal before it is cut off.
+          # Paced, so that this process reads a refusal before the cut-off.
           await anyio.sleep(0.02)
         while statuses[503] < 300:
           await anyio.sleep(0.05)
@@ -274,7 +274,7 @@
         release.set()
     self.assertTrue(env.router.is_running, env.router.log[-3000:])
     self.assertTrue(statuses[200] >= 10, statuses)
-    # Who goes on sending long after a refusal is cut off and may not read it.
+    # A caller that keeps sending long after a refusal may not read it.
     self.assertTrue(statuses[0] <= 40, statuses)
     self.assertEqual(400, statuses[200] + statuses[503] + statuses[0], statuses)
 
@@ -296,8 +296,9 @@
 
   @processcase.in_environment()
   async def test_long_answers_stay_within_the_limit(self, env):
-    # An endpoint answers 60 requests at once with 4 MB each. Read whole before
-    # they are passed on, they would be 240 MB; those without room fail.
+    # An endpoint responds to 60 concurrent requests with 4 MB each. Responses
+    # are buffered before they are passed on, which would take 240 MB; those
+    # that do not fit must fail.
     env.router.settings["limits"]["memory_mb"] = 150
     env.server.behaviour.padding = 4_000_000
     env.router.start()
@@ -325,7 +326,7 @@
     self.assertTrue(env.router.is_running, env.router.log[-3000:])
     self.assertTrue(statuses[200] >= 3, statuses)
     # On a busy machine a caller may be refused before it has sent its request,
-    # and be cut off before it reads that.
+    # and be cut off before it reads the refusal.
     self.assertTrue(statuses.keys() <= {200, 502, 503, 0}, statuses)
     self.assertTrue(statuses[0] <= 6, statuses)
     env.server.behaviour.padding = 0
@@ -336,8 +337,8 @@
 
   @processcase.in_environment()
   async def test_store_that_answers_nonsense(self, env):
-    # The store's answers are of other shapes than they should be, whatever is
-    # asked. The router knows no more than before and runs on with that.
+    # The store responds to every call with data of an unexpected shape. The
+    # router must keep running with the state that it has.
     env.router.start()
     await env.router.wait_until_ready()
     self.assertEqual(200, (await env.call("/look/a", "r1")).status)
@@ -363,8 +364,9 @@
 
   @processcase.in_environment()
   async def test_budget_whose_record_makes_no_sense(self, env):
-    # Somebody wrote over a budget's record. Its requests are served from what
-    # is held, or refused; others, and the process, are not concerned.
+    # A budget's record was overwritten with invalid data. Its requests must be
+    # served from tokens already held, or refused; other requests must succeed
+    # and the process must keep running.
     env.router.start()
     await env.router.wait_until_ready()
     for value in ([], {"limit": "x"}, None, 7, {"grants": 3}):
@@ -380,7 +382,7 @@
   async def _serve_malformed_responses(
       self, port: int, called_paths: list[str]
   ) -> None:
-    """Answers other routers' calls as another version of them might."""
+    """Responds to other routers' calls as another version might."""
     answers = itertools.cycle(
         (
             b"{}",
@@ -409,9 +411,9 @@
 
   @processcase.in_environment()
   async def test_router_of_another_version_answers_otherwise(self, env):
-    # A budget's owner is a router of another version, whose answers have
-    # other fields. Each answer ended the router that had asked. It goes on as
-    # if there had been no answer, and draws on the store itself.
+    # A budget's owner is a router of another version, whose responses have other
+    # fields. Each such response ended the calling router. It must continue as if
+    # there had been no response, and take tokens from the store itself.
     port, called_paths = fleet.free_port(), []
     for number in range(8):
       member = {
@@ -439,7 +441,7 @@
 
   @processcase.in_environment()
   async def test_calls_and_datagrams_that_make_no_sense(self, env):
-    # Whatever reaches the port for other routers, and the datagrams' one.
+    # Invalid calls on the port for other routers, and invalid datagrams.
     env.router.start()
     await env.router.wait_until_ready()
     control = env.router.settings["listen"]["control"].rpartition(":")[2]
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""Whole paths through one gateway before the emulated platform."""
+"""End-to-end tests of a gateway on the emulated platform."""
 
 import functools
 
@@ -30,7 +30,10 @@
 
 
 def tokens_spent(env) -> int:
-  """Returns what the budget's holders have used, by the ledger and rows."""
+  """Returns the tokens used of the budget, by the ledger and by the gateway.
+
+  Usage that the gateway has reported to the ledger is counted once.
+  """
   rows = env.gateway.accounts.pool.table.rows.values()
   own = sum(row.used for row in rows)
   found = env.store.read(ledger.key("acme")) or {"spent": 0, "billed": {}}
@@ -39,7 +42,7 @@
 
 
 async def fill_retry_budget(env):
-  """Has the router serve some requests, which pay for second sends."""
+  """Makes requests that succeed, each of which adds to the retry budget."""
   for n in range(24):
     answer = await env.call("/look/a", f"paid{n}")
     assert answer.status == 200  # noqa: PLR2004
@@ -56,9 +59,9 @@
 
   @in_environment()
   async def test_headers_of_the_router_never_come_from_a_caller(self, env):
-    # A caller forges the headers that name its team, reach another
-    # request's memory or jump the queue. The server must see the router's
-    # own or none, and never the caller's key.
+    # A caller forges headers that name its team, access the KV cache of another
+    # request, or raise its priority. The server must see the router's values or
+    # none, and never the caller's API key.
     forged = {"tenant": "rich", "hold": "h", "pin_ms": "9", "kv_from": "a/b"}
     forged |= {"kv_backup": "a", "kv_fetch": "a", "request_priority": "0"}
     forged |= {"expect_version": "3", "expect_instance": "i-9"}
@@ -83,8 +86,9 @@
 
   @in_environment(servers=("i-1", "i-2"))
   async def test_refused_request_goes_to_another_server(self, env):
-    # One server is full and says that it did not run the request. Even a
-    # request that may run once goes to the other, where attempts allow.
+    # A server is full and reports that it did not run the request. Even a
+    # request that must not run twice may then be sent to the other server, as
+    # far as the route's attempts allow.
     await fill_retry_budget(env)
     env.servers["i-1"].behaviour.not_run = True
     env.servers["i-2"].behaviour.not_run = True
@@ -98,8 +102,8 @@
 
   @in_environment()
   async def test_lost_answer_of_an_unsafe_request_is_no_refusal(self, env):
-    # The server runs a booking and its connection breaks before the
-    # answer. Told 503 the caller would book again; 502 promises nothing.
+    # The server runs a booking and the connection breaks before the response.
+    # After a 503 the caller would book again; 502 leaves open whether it ran.
     env.servers["i-1"].behaviour.cut_after = 0
     answer = await env.call("/book/a", "r1")
     self.assertEqual(502, answer.status)
@@ -114,16 +118,16 @@
 
   @in_environment()
   async def test_answer_of_another_request_is_passed_over(self, env):
-    # An answer that nobody waits for any more arrives where this one's is
-    # expected; the caller must get its own, which follows.
+    # A late response to an earlier request arrives first. The caller must get
+    # the response to its own request, which follows.
     env.servers["i-1"].behaviour.stranger_first = True
     answer = await env.call("/book/a", "r1")
     self.assertEqual(b"i-1 /book/a", answer.body)
 
   @in_environment()
   async def test_second_answer_spoils_the_connection_only(self, env):
-    # The server sends a second answer after the first. Left on a kept
-    # connection it would be read as the next request's.
+    # The server sends a second response after the first. On a reused connection
+    # it would be taken for the response to the next request.
     env.servers["i-1"].behaviour.extra_after = True
     for n in range(3):
       answer = await env.call("/book/a", f"r{n}")
@@ -148,8 +152,8 @@
 
   @in_environment()
   async def test_server_that_is_another_is_not_asked_again(self, env):
-    # The address of a server that is gone is another's now. It answers
-    # 421 and the entry is dropped; the request did not run.
+    # The address of a removed server now belongs to another one, which responds
+    # with 421. The request did not run, and the entry must be dropped.
     listed = env.gateway.directory.endpoints.rows["i-1"].url
     env.list_server("i-old", int(listed.rpartition(":")[2]))
     rows = env.gateway.directory.endpoints.rows
@@ -161,8 +165,8 @@
 
   @in_environment()
   async def test_caller_that_leaves_ends_the_work(self, env):
-    # The caller closes while its answer is awaited. The server must see
-    # the close soon, or it works for nobody.
+    # The caller disconnects before the response. The server must soon see its
+    # connection closed, so that it can abort the work.
     env.servers["i-1"].behaviour.work_s = 5.0
     async with env.caller() as caller:
       await caller.send("/look/a", "r1")
@@ -191,8 +195,9 @@
 
   @in_environment(servers=("i-1", "i-2"))
   async def test_broken_stream_goes_on_at_another_server(self, env):
-    # A server stops in the middle of the third event. The rest comes from
-    # another one, within the same answer; no event is missing or doubled.
+    # A server breaks off in the middle of the third event. The rest must come
+    # from another server in the same response, without missing or repeated
+    # events.
     await fill_retry_budget(env)
     for server in env.servers.values():
       server.behaviour.events = 6
@@ -219,8 +224,8 @@
 
   @in_environment(prepaid=5_000)
   async def test_budget_is_never_passed_and_says_when_it_is_used_up(self, env):
-    # Each stream uses 1,020 of 5,000 tokens; what it may use at most is
-    # 1,100. The fifth does not fit, and nothing can come back: 402.
+    # Each stream uses 1,020 of 5,000 tokens and reserves 1,100. The fifth does
+    # not fit, and no reservation is left to be returned: 402.
     env.servers["i-1"].behaviour.events = 5
     statuses = []
     for n in range(6):
@@ -249,9 +254,9 @@
 
   @in_environment()
   async def test_requests_go_on_while_the_store_is_silent(self, env):
-    # The store stops answering for good. What is held of the budget is
-    # still used, plain requests go on, and what the budget cannot cover
-    # is refused quickly, not after the store's timeouts.
+    # The store stops responding. Tokens that the router holds must still be
+    # used, requests without tokens must succeed, and requests that the held
+    # tokens cannot cover must be refused quickly, not after store timeouts.
     env.servers["i-1"].behaviour.events = 5
     await env.call("/once/a", "r0", **StreamTest.USAGE)
     env.store.faults.down = "silent"
@@ -263,12 +268,13 @@
       usage = {"token_usage": "80000,100", "model": "m"}
       answer = await env.call("/once/a", "r3", **usage)
     self.assertEqual(429, answer.status)
-    # Not at once again: the store is still away then. A third of its time.
+    # The store is still unreachable then, so not immediately: a third of the
+    # request's time.
     self.assertTrue(0.7 <= float(answer.headers["retry-after"]) <= 1.5)
 
   @in_environment()
   async def test_stale_configuration_denies_nothing_for_good(self, env):
-    """Guards against a 404 for a route that was added while out of touch."""
+    """Guards against a 404 for a route added while the store is unreachable."""
     env.store.faults.down = "busy"
     await anyio.sleep(2.5)
     for path, key in (("/nowhere/", platformcase.KEY), ("/look/a", "new")):
@@ -282,8 +288,8 @@
 
   @in_environment()
   async def test_lost_and_late_write_grants_once(self, env):
-    # The store does a grant's write and its answer is lost, or does it
-    # seconds later. The tokens must not be granted twice.
+    # The store applies the write of a grant and its response is lost, or it
+    # applies the write later. The tokens must not be granted twice.
     env.servers["i-1"].behaviour.events = 5
     for late_s in (0.0, 0.2):
       env.store.faults.lose_answers = 1
@@ -310,8 +316,8 @@
 
   @in_environment()
   async def test_change_is_in_force_after_the_history_was_dropped(self, env):
-    # The store drops its history while a watch waits; the watch is told
-    # that it cannot go on, and the change must be found by a read.
+    # The store drops its history during a watch. The watch fails, and the
+    # change must be found by a read.
     env.store.forget_history()
     env.configure(version=3)
     known = env.gateway.directory
@@ -330,8 +336,8 @@
 
   @in_environment()
   async def test_ambiguous_requests_reach_no_server(self, env):
-    # Two programs could read these differently; a server that does would
-    # run a request that is hidden inside another.
+    # Two programs could parse these requests differently. A server that does
+    # would run a request hidden in the body (request smuggling).
     head = (
         "POST /look/a HTTP/1.1\r\nhost: shop.example\r\nrequest-id: r\r\n"
         "credential: key-of-acme\r\n"
@@ -381,8 +387,8 @@
 
   @in_environment()
   async def test_stop_finishes_what_is_in_flight(self, env):
-    # The platform stops the process while a booking is at work. Its caller
-    # gets the answer, and is told that the connection closes.
+    # The platform stops the process while a booking is in flight. Its caller
+    # must still get the response.
     env.servers["i-1"].behaviour.work_s = 0.6
     async with env.caller() as caller:
       await caller.send("/book/a", "r1")
@@ -398,9 +404,9 @@
 
   @in_environment()
   async def test_long_stream_is_given_most_of_the_time_to_stop(self, env):
-    # A long stream has just begun when the platform stops the process. It
-    # must come to its end in the time that the platform gives; keeping much
-    # of that for handing budgets back cut the stream in the middle.
+    # A long stream has just begun when the platform stops the process. It must
+    # complete within the stop timeout. Reserving much of that time for returning
+    # budgets cut the stream off.
     behaviour = env.servers["i-1"].behaviour
     behaviour.events, behaviour.gap_s = 15, 0.1
     async with env.caller() as caller:
@@ -412,9 +418,9 @@
 
   @in_environment()
   async def test_stop_ends_in_time_while_the_store_is_silent(self, env):
-    # The store answers nothing and the platform stops the process. Budgets
-    # cannot be handed back, and the process must not wait for that until
-    # it is killed: its callers' connections would be cut with it.
+    # The platform stops the process while the store does not respond. Budgets
+    # cannot be returned, and the process must not wait for that until it is
+    # killed, which would cut off its callers' connections.
     env.servers["i-1"].behaviour.events = 5
     await env.call("/once/a", "r1", **StreamTest.USAGE)
     env.store.faults.down = "silent"
@@ -429,9 +435,9 @@
   def test_configuration_and_servers_reach_a_router_that_the_store_refuses(
       self,
   ):
-    # The store refuses one host and serves the others. A key is revoked
-    # and a server leaves meanwhile. Through another router the refused one
-    # knows both within a second or two, and acts on them.
+    # The store refuses one host and serves the others. Meanwhile the
+    # configuration changes and a server is removed. The refused router must
+    # learn of both from another router within seconds.
     async def go():
       async with platformcase.running(servers=("i-1", "i-2")) as env:
         other = await env.add_gateway("front-2")
@@ -454,9 +460,10 @@
 class OwnerTest(testtools.TestCase):
 
   def test_stand_in_for_an_owner_takes_only_what_it_needs(self):
-    # The router that owns a budget does not answer, and another takes a
-    # grant in its place. A whole store of tokens there would lie idle once
-    # the owner is back: idle tokens in the wrong place are false refusals.
+    # The router that owns a budget does not respond, and another one takes a
+    # grant in its place. It must take only what the request needs: a larger grant
+    # would be idle once the owner is back, and the owner would have to refuse
+    # requests that the budget covers.
     async def go():
       with anyio.fail_after(20):
         async with platformcase.running(servers=("i-1",)) as env:
@@ -469,7 +476,7 @@
           owner = env.gateway.accounts.members.owner("acme").life
           asker = [g for g in gateways if g.accounts.members.me.life != owner]
           pool = asker[0].accounts.pool
-          # What it took while it was the only router goes back first.
+          # The grant that it took as the only router is returned first.
           await env.wait_until(lambda: not pool.table.by_budget.get("acme"))
           asker[0].accounts.peers._send = _no_answer
           found = await pool.reserve("acme", 1100, "acme")
@@ -487,9 +494,8 @@
 class ReadyTest(testtools.TestCase):
 
   def test_not_ready_before_callers_can_connect(self):
-    # The balancer asks, is told that the router is ready, and sends a
-    # caller whose connection is refused: the configuration was known
-    # before the callers' port was open.
+    # The configuration was known before the callers' port was open. The router
+    # reported readiness, and connections from the load balancer were refused.
     async def go():
       seen = []
       listen = anyio.create_tcp_listener
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -1,4 +1,4 @@
-"""Kept connections: closed once their time is over, and no more than once."""
+"""Closing the idle connections of the pool: each is closed once, when due."""
 
 import collections
 import datetime
@@ -13,7 +13,7 @@
 
 
 class _ConnectionPool(connection_pool_lib.ConnectionPool):
-  """Connections whose closing lets a request take another one away."""
+  """A pool in which a request takes another connection while one is closed."""
 
   takes = True
 
@@ -41,9 +41,9 @@
     return connection_pool, all_
 
   def test_request_that_takes_one_while_another_closes_is_no_fault(self):
-    # After a host was frozen many connections are due at once. While one is
-    # closed a request looks at the next; the loop that closes them, and runs
-    # all the router's systems, used to end on what was gone meanwhile.
+    # After a host was frozen, many connections are due at once. While one is
+    # closed, a request acquires another one. The loop that closes them, which
+    # runs all of the router's periodic tasks, used to fail on the missing one.
     connection_pool, (first, second, third) = self._close([1.0, 2.0, 3.0])
     self.assertEqual([first, second, third], connection_pool.discarded)
     self.assertNotIn(_ADDRESS, connection_pool._idle)
--- a/tests/test_request_context.py
+++ b/tests/test_request_context.py
@@ -1,8 +1,7 @@
-"""What a request is billed.
+"""Tokens billed for a request: only what was delivered to the caller.
 
-What the caller sees: a budget that covers what was delivered to it. A server
-that runs requests and loses their answers would use up a budget, of which
-the team had got nothing.
+Otherwise a server that runs requests and loses their responses would use up the
+budget of a team that received nothing.
 """
 
 import types
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -1,4 +1,4 @@
-"""Streams of events: cut into whole events and joined over endpoints."""
+"""Parsing event streams, and resuming them at another endpoint."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -35,8 +35,8 @@
 
   @given(st.integers(1, 12), st.integers(0, 12), st.integers(0, 12))
   def test_each_event_once_and_in_order(self, count, cut, overlap):
-    # A stream breaks after `cut` events; the next endpoint begins a few
-    # events before that. The caller gets each event once.
+    # A stream breaks off after `cut` events, and the next endpoint repeats the
+    # last `overlap` of them. The caller must get each event once.
     cut = min(cut, count)
     first = list(range(1, cut + 1))
     second = list(range(max(1, cut + 1 - overlap), count + 1))
