--- a/mustardfall/gateway.py
+++ b/mustardfall/gateway.py
@@ -344,7 +344,7 @@
       self.directory.endpoints.tick(now)
       self.loads.add_up(now)
       self.trackers.forget()
-      await self.connection_pool.close_idle()
+      await self.connection_pool.close_expired()
       last = now
 
   async def _stop(self, server: http_server.HttpServer, stop_s: float) -> None:
--- a/mustardfall/proxy/admission.py
+++ b/mustardfall/proxy/admission.py
@@ -134,11 +134,11 @@
     if context.reservation is not None:
       return
     known = self._accounts.pool.known
-    where = known.whereabouts(budget)
+    whereabouts = known.whereabouts(budget)
     if known.is_exhausted(budget, usage.max_tokens):
-      raise refusals.budget_exhausted(where)
+      raise refusals.budget_exhausted(whereabouts)
     raise refusals.tokens_unavailable(
-        where, self._tokens_retry_after_s(context)
+        whereabouts, self._tokens_retry_after_s(context)
     )
 
   def _tokens_retry_after_s(
--- a/mustardfall/proxy/connection_pool.py
+++ b/mustardfall/proxy/connection_pool.py
@@ -56,7 +56,7 @@
     self._clock = clock
     self._max_open = max_open
     self._idle: dict[str, collections.deque[Connection]] = {}
-    self.open: collections.Counter[str] = collections.Counter()
+    self.open_counts: collections.Counter[str] = collections.Counter()
     """Number of open connections per address, idle ones included."""
     self.opened = 0
 
@@ -87,7 +87,7 @@
       stream = await sockets.connect(address, timeout_s)
     except OSError as exc:
       raise errors.EndpointUnreachableError(f"{address}: {exc!r}") from exc
-    self.open[address] += 1
+    self.open_counts[address] += 1
     self.opened += 1
     return Connection(address, stream)
 
@@ -97,7 +97,7 @@
     Connections in use are not closed: there are as many as requests, which
     `resource_limiter` bounds.
     """
-    while self._idle and self.open.total() >= self._max_open:
+    while self._idle and self.open_counts.total() >= self._max_open:
       address = next(iter(self._idle))
       connection = self._pop(address)
       if connection is not None:
@@ -137,9 +137,9 @@
 
   async def discard(self, connection: Connection) -> None:
     """Closes a connection without returning it to the pool."""
-    self.open[connection.address] -= 1
-    if not self.open[connection.address]:
-      del self.open[connection.address]
+    self.open_counts[connection.address] -= 1
+    if not self.open_counts[connection.address]:
+      del self.open_counts[connection.address]
     await connection.close()
 
   async def close_address(self, address: str) -> None:
@@ -147,7 +147,7 @@
     for connection in self._idle.pop(address, ()):
       await self.discard(connection)
 
-  async def close_idle(self) -> None:
+  async def close_expired(self) -> None:
     """Closes idle connections that are past their idle timeout."""
     now = self._clock.monotonic()
     expired = []
@@ -157,9 +157,11 @@
       expired += [
           connection for connection in idle if now >= connection.idle_until
       ]
-      kept = [connection for connection in idle if now < connection.idle_until]
-      if kept:
-        self._idle[address] = collections.deque(kept)
+      unexpired = [
+          connection for connection in idle if now < connection.idle_until
+      ]
+      if unexpired:
+        self._idle[address] = collections.deque(unexpired)
       else:
         del self._idle[address]
     for connection in expired:
--- a/mustardfall/proxy/endpoint_selector.py
+++ b/mustardfall/proxy/endpoint_selector.py
@@ -101,11 +101,11 @@
     Endpoints that the request was not sent to yet are preferred.
     """
     rows = self._directory.endpoints.fitting(context.service.name, "")
-    fresh = [row for row in rows if row.name not in context.tried_endpoints]
+    untried = [row for row in rows if row.name not in context.tried_endpoints]
     prompt = request_context_lib.prompt_for_placement(context.request)
     if not self._trackers.is_used:
-      return placement.choose(fresh or rows, prompt, self._datacentre)
-    return await self._select_tracked(fresh or rows, prompt)
+      return placement.choose(untried or rows, prompt, self._datacentre)
+    return await self._select_tracked(untried or rows, prompt)
 
   async def _select_tracked(
       self, rows: list[endpoints.Row], prompt: placement.Prompt
--- a/mustardfall/proxy/http_server.py
+++ b/mustardfall/proxy/http_server.py
@@ -317,7 +317,7 @@
     self._allocate(resource_limiter_lib.REQUEST_OVERHEAD_BYTES)
     request = self._decode(head)
     body = await self._read_body(head)
-    self.closes_after_response = self._server.draining or _asks_close(head)
+    self.closes_after_response = self._server.draining or _requests_close(head)
     self._server.in_flight += 1
     try:
       await self._handle(request, body, responder)
@@ -524,7 +524,7 @@
         await self._stream.receive(_READ_BYTES)
 
 
-def _asks_close(head: h11.Request) -> bool:
+def _requests_close(head: h11.Request) -> bool:
   for name, value in head.headers:
     if name == b"connection" and b"close" in value.lower():
       return True
--- a/mustardfall/proxy/internal.py
+++ b/mustardfall/proxy/internal.py
@@ -81,7 +81,7 @@
       await responder.respond(404, [])
       return
     try:
-      answer = await handler(json.loads(body or b"{}"))
+      result = await handler(json.loads(body or b"{}"))
     except (AttributeError, KeyError, TypeError, ValueError) as exc:
       logger.warning(
           "peer call malformed",
@@ -89,7 +89,7 @@
       )
       await responder.respond(400, [])
       return
-    await responder.respond(200, [], json.dumps(answer).encode())
+    await responder.respond(200, [], json.dumps(result).encode())
 
   async def _reserve(self, body: dict[str, Any]) -> dict[str, Any]:
     handed = await self._accounts.pool.owner.serve_ask(peers.Ask(**body))
--- a/mustardfall/proxy/refusals.py
+++ b/mustardfall/proxy/refusals.py
@@ -60,17 +60,17 @@
   return RefusalError(401, "unknown API key", facts={"version": version})
 
 
-def budget_exhausted(where: known.Whereabouts | None) -> RefusalError:
+def budget_exhausted(whereabouts: known.Whereabouts | None) -> RefusalError:
   """The budget cannot cover the request even if all reservations are returned."""
-  facts = where._asdict() if where else None
+  facts = whereabouts._asdict() if whereabouts else None
   return RefusalError(402, "budget used up", facts=facts)
 
 
 def tokens_unavailable(
-    where: known.Whereabouts | None, retry_after_s: float
+    whereabouts: known.Whereabouts | None, retry_after_s: float
 ) -> RefusalError:
   """The budget's tokens are held by other routers, or the store is unreachable."""
-  facts = where._asdict() if where else None
+  facts = whereabouts._asdict() if whereabouts else None
   return RefusalError(429, "budget cannot cover it now", retry_after_s, facts)
 
 
--- a/mustardfall/proxy/streams.py
+++ b/mustardfall/proxy/streams.py
@@ -25,10 +25,10 @@
     Raises:
       ValueError: an event is longer than `_MAX_EVENT_BYTES`.
     """
-    *whole, self._incomplete = (self._incomplete + data).split(b"\n\n")
+    *complete, self._incomplete = (self._incomplete + data).split(b"\n\n")
     if len(self._incomplete) > _MAX_EVENT_BYTES:
       raise ValueError("event too long")
-    return [Event(_id_of(raw), raw + b"\n\n") for raw in whole]
+    return [Event(_id_of(raw), raw + b"\n\n") for raw in complete]
 
   @property
   def incomplete(self) -> bytes:
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -35,7 +35,7 @@
       server.behaviour.crash_on = _POISON
 
   @test_gateway.in_environment(servers=tuple(f"i-{n}" for n in range(8)))
-  async def test_no_more_servers_end_than_it_takes_to_know(self, env):
+  async def test_few_servers_crash_before_the_quarantine(self, env):
     """Guards against a request that crashes one server after another."""
     self._poison(env)
     async with anyio.create_task_group() as tg:
@@ -47,7 +47,7 @@
     self.assertTrue(float(answers[-1].headers["retry-after"]) > 1)
 
   @test_gateway.in_environment(servers=tuple(f"i-{n}" for n in range(8)))
-  async def test_others_are_served_beside_it(self, env):
+  async def test_concurrent_requests_are_served(self, env):
     """Guards against refusing requests that only ran beside such a request."""
     await test_gateway.fill_retry_budget(env)
     self._poison(env)
@@ -72,7 +72,7 @@
     self.assertEqual(1, len(env.gateway.quarantine.verdicts()))
 
   @test_gateway.in_environment(servers=("i-1", "i-2", "i-3"))
-  async def test_lost_answers_of_servers_that_go_on_do_not_count(self, env):
+  async def test_lost_responses_of_running_servers_do_not_count(self, env):
     """Guards against a quarantine because of connections that break."""
     for server in env.servers.values():
       server.behaviour.cut_after = 0
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -30,7 +30,7 @@
 class SignalTest(testtools.TestCase):
 
   @processcase.in_environment()
-  async def test_settings_signal_while_the_program_starts(self, env):
+  async def test_reload_signal_during_the_start(self, env):
     # The settings file changes just after the process started. A SIGHUP that
     # arrived before its handler was installed ended the process. It is sent
     # repeatedly during the start, from the first moment at which the program's
@@ -49,7 +49,7 @@
     self.assertEqual(0, await env.router.stop())
 
   @processcase.in_environment()
-  async def test_signals_while_the_program_stops(self, env):
+  async def test_signals_during_the_stop(self, env):
     # While a router stops, the settings change (SIGHUP) and the supervisor
     # repeats its SIGTERM. The router must stop cleanly all the same.
     env.router.start()
@@ -72,7 +72,7 @@
     self.assertTrue(env.router.is_running, env.router.log[-3000:])
 
   @processcase.in_environment()
-  async def test_file_of_another_shape_at_reload(self, env):
+  async def test_invalid_file_at_reload(self, env):
     # A list instead of an object, fields that are null, or a truncated file
     # ended the router. It must keep its current settings.
     env.router.start()
@@ -97,7 +97,7 @@
     self.assertEqual(200, (await env.call("/look/a", "r1")).status)
 
   @processcase.in_environment()
-  async def test_file_that_makes_no_sense_at_the_start_is_waited_for(self, env):
+  async def test_invalid_file_at_the_start_is_waited_for(self, env):
     # The file is still being written while the process starts. The process
     # used to end, and again after each restart. It must wait for a valid file.
     env.router.write_settings({"node": "front-1", "listen": None})
@@ -109,7 +109,7 @@
     self.assertEqual(200, (await env.call("/look/a", "r1")).status)
 
   @processcase.in_environment()
-  async def test_lesser_fields_that_make_no_sense_have_defaults(self, env):
+  async def test_invalid_optional_fields_have_defaults(self, env):
     optional_fields = {
         "bounds": {"retry_ratio": None, "retry_slack": "x", "grace_s": None},
         "port_range": None,
@@ -135,7 +135,7 @@
     return occupied
 
   @processcase.in_environment()
-  async def test_metrics_port_that_is_taken(self, env):
+  async def test_occupied_metrics_port(self, env):
     # The platform does not reserve this port. With the port occupied the router
     # never became ready, and ended. It must serve callers without metrics.
     port = fleet.free_port()
@@ -152,7 +152,7 @@
       self.assertIn(b" 200 ", await stream.receive())
 
   @processcase.in_environment()
-  async def test_ports_that_are_taken_for_a_moment(self, env):
+  async def test_temporarily_occupied_ports(self, env):
     # The previous process still occupies its ports. The new one must wait.
     listen = env.router.settings["listen"]
     occupied = [
@@ -194,7 +194,7 @@
     self.assertNotIn("connection not accepted", env.router.log)
 
   @processcase.in_environment()
-  async def test_more_requests_at_work_than_descriptors(self, env):
+  async def test_more_requests_in_flight_than_descriptors(self, env):
     # All connections have a request in flight, so none can be closed. Later
     # callers must get a 503 with Retry-After, not a connection that hangs.
     env.router.max_files = 120
@@ -245,7 +245,7 @@
       tg.cancel_scope.cancel()
 
   @processcase.in_environment(max_body_bytes=1_000_000, idle_timeout_ms=60_000)
-  async def test_bodies_that_are_not_whole_stay_within_the_limit(self, env):
+  async def test_incomplete_bodies_stay_within_the_limit(self, env):
     # 400 callers send 0.9 MB each except for the last byte: 436 MB on a host
     # that kills a process at 150 MB. Requests that fit must be served, and the
     # others refused with 503 before their bodies are read.
@@ -279,7 +279,7 @@
     self.assertEqual(400, statuses[200] + statuses[503] + statuses[0], statuses)
 
   @processcase.in_environment(max_header_bytes=16_000, header_timeout_ms=20_000)
-  async def test_heads_that_are_not_whole_stay_within_the_limit(self, env):
+  async def test_incomplete_heads_stay_within_the_limit(self, env):
     env.router.settings["limits"]["memory_mb"] = 110
     env.router.start()
     await env.router.wait_until_ready()
@@ -336,7 +336,7 @@
 class StoreTest(testtools.TestCase):
 
   @processcase.in_environment()
-  async def test_store_that_answers_nonsense(self, env):
+  async def test_store_that_responds_with_invalid_data(self, env):
     # The store responds to every call with data of an unexpected shape. The
     # router must keep running with the state that it has.
     env.router.start()
@@ -355,7 +355,7 @@
     self.assertEqual(200, answer.status, env.router.log[-3000:])
 
   @processcase.in_environment()
-  async def test_store_that_answers_nonsense_at_the_stop(self, env):
+  async def test_store_that_responds_with_invalid_data_at_the_stop(self, env):
     env.router.start()
     await env.router.wait_until_ready()
     await env.call("/text/a", "s1", token_usage="100,50")
@@ -363,7 +363,7 @@
     self.assertEqual(0, await env.router.stop(), env.router.log[-3000:])
 
   @processcase.in_environment()
-  async def test_budget_whose_record_makes_no_sense(self, env):
+  async def test_invalid_budget_record(self, env):
     # A budget's record was overwritten with invalid data. Its requests must be
     # served from tokens already held, or refused; other requests must succeed
     # and the process must keep running.
@@ -410,7 +410,7 @@
     await served.serve("127.0.0.1", port)
 
   @processcase.in_environment()
-  async def test_router_of_another_version_answers_otherwise(self, env):
+  async def test_peer_of_another_version_responds_with_other_fields(self, env):
     # A budget's owner is a router of another version, whose responses have other
     # fields. Each such response ended the calling router. It must continue as if
     # there had been no response, and take tokens from the store itself.
@@ -440,7 +440,7 @@
       tg.cancel_scope.cancel()
 
   @processcase.in_environment()
-  async def test_calls_and_datagrams_that_make_no_sense(self, env):
+  async def test_invalid_calls_and_datagrams(self, env):
     # Invalid calls on the port for other routers, and invalid datagrams.
     env.router.start()
     await env.router.wait_until_ready()
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -51,7 +51,7 @@
 class PlainTest(testtools.TestCase):
 
   @in_environment()
-  async def test_answer_comes_back_unchanged(self, env):
+  async def test_response_is_passed_on_unchanged(self, env):
     answer = await env.call("/look/a?b=c", "r1")
     self.assertEqual((200, b"i-1 /look/a?b=c"), (answer.status, answer.body))
     self.assertEqual("r1", answer.headers["request-id"])
@@ -110,7 +110,7 @@
     self.assertEqual(1, len(env.servers["i-1"].seen))
 
   @in_environment(servers=("i-1", "i-2"))
-  async def test_lost_answer_of_a_safe_request_is_fetched_again(self, env):
+  async def test_safe_request_with_a_lost_response_is_retried(self, env):
     env.servers["i-1"].behaviour.cut_after = 0
     for n in range(4):
       answer = await env.call("/look/a", f"r{n}")
@@ -145,7 +145,7 @@
       setattr(env.servers["i-1"].behaviour, field, False)
 
   @in_environment()
-  async def test_answer_without_length_is_whole_at_the_close(self, env):
+  async def test_response_without_length_is_complete_at_the_close(self, env):
     env.servers["i-1"].behaviour.unframed = True
     answer = await env.call("/book/a", "r1")
     self.assertEqual((200, b"i-1 /book/a"), (answer.status, answer.body))
@@ -253,7 +253,7 @@
 class StoreTroubleTest(testtools.TestCase):
 
   @in_environment()
-  async def test_requests_go_on_while_the_store_is_silent(self, env):
+  async def test_requests_are_served_while_the_store_is_silent(self, env):
     # The store stops responding. Tokens that the router holds must still be
     # used, requests without tokens must succeed, and requests that the held
     # tokens cannot cover must be refused quickly, not after store timeouts.
@@ -367,7 +367,7 @@
     self.assertEqual([], env.servers["i-1"].seen)
 
   @in_environment()
-  async def test_connection_is_kept_and_requests_may_be_queued_on_it(self, env):
+  async def test_connections_are_reused_and_requests_pipelined(self, env):
     async with env.caller() as caller:
       for n in range(3):
         await caller.send("/look/a", f"r{n}", b"abc")
@@ -432,7 +432,7 @@
 
 class RelayTest(testtools.TestCase):
 
-  def test_configuration_and_servers_reach_a_router_that_the_store_refuses(
+  def test_router_refused_by_the_store_gets_documents_from_another(
       self,
   ):
     # The store refuses one host and serves the others. Meanwhile the
@@ -459,7 +459,7 @@
 
 class OwnerTest(testtools.TestCase):
 
-  def test_stand_in_for_an_owner_takes_only_what_it_needs(self):
+  def test_fallback_for_an_owner_takes_only_what_it_needs(self):
     # The router that owns a budget does not respond, and another one takes a
     # grant in its place. It must take only what the request needs: a larger grant
     # would be idle once the owner is back, and the owner would have to refuse
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -15,32 +15,32 @@
 class _ConnectionPool(connection_pool_lib.ConnectionPool):
   """A pool in which a request takes another connection while one is closed."""
 
-  takes = True
+  acquires_during_close = True
 
   async def discard(self, connection):
     self.discarded.append(connection)
     await anyio.lowlevel.checkpoint()
-    if self.takes:
+    if self.acquires_during_close:
       self._pop(_ADDRESS)
 
 
 class CloseIdleTest(testtools.TestCase):
 
-  def _close(self, idle_until, takes=True):
+  def _close(self, idle_until, acquires_during_close=True):
     clock = clock_lib.FakeClock(0.0)
     connection_pool = _ConnectionPool(clock)
-    connection_pool.takes = takes
+    connection_pool.acquires_during_close = acquires_during_close
     connection_pool.discarded = []
-    all_ = [
+    connections = [
         connection_pool_lib.Connection(_ADDRESS, None, idle_until=until)
         for until in idle_until
     ]
-    connection_pool._idle[_ADDRESS] = collections.deque(all_)
+    connection_pool._idle[_ADDRESS] = collections.deque(connections)
     clock.advance(datetime.timedelta(seconds=5))
-    anyio.run(connection_pool.close_idle)
-    return connection_pool, all_
+    anyio.run(connection_pool.close_expired)
+    return connection_pool, connections
 
-  def test_request_that_takes_one_while_another_closes_is_no_fault(self):
+  def test_request_may_acquire_a_connection_while_another_is_closed(self):
     # After a host was frozen, many connections are due at once. While one is
     # closed, a request acquires another one. The loop that closes them, which
     # runs all of the router's periodic tasks, used to fail on the missing one.
@@ -48,7 +48,9 @@
     self.assertEqual([first, second, third], connection_pool.discarded)
     self.assertNotIn(_ADDRESS, connection_pool._idle)
 
-  def test_those_whose_time_is_not_over_are_kept(self):
-    connection_pool, (due, kept) = self._close([1.0, 9.0], takes=False)
-    self.assertEqual([due], connection_pool.discarded)
-    self.assertEqual([kept], list(connection_pool._idle[_ADDRESS]))
+  def test_unexpired_connections_are_kept(self):
+    connection_pool, (expired, unexpired) = self._close(
+        [1.0, 9.0], acquires_during_close=False
+    )
+    self.assertEqual([expired], connection_pool.discarded)
+    self.assertEqual([unexpired], list(connection_pool._idle[_ADDRESS]))
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -14,17 +14,17 @@
 class SplitterTest(testtools.TestCase):
 
   @given(st.integers(0, 12), st.lists(st.integers(1, 30)))
-  def test_cuts_do_not_matter(self, count, cuts):
+  def test_chunk_boundaries_do_not_matter(self, count, chunk_sizes):
     data = _bytes(range(count))
     parser, events = streams.EventParser(), []
-    for cut in cuts:
+    for cut in chunk_sizes:
       events += parser.feed(data[:cut])
       data = data[cut:]
     events += parser.feed(data)
     self.assertEqual(list(range(count)), [event.id for event in events])
     self.assertEqual(b"", parser.incomplete)
 
-  def test_half_an_event_is_not_passed_on(self):
+  def test_incomplete_event_is_not_returned(self):
     parser = streams.EventParser()
     events = parser.feed(_bytes([1]) + b"id: 2\ndat")
     self.assertEqual([1], [event.id for event in events])
@@ -48,6 +48,6 @@
         got.append(number)
     self.assertEqual(list(range(1, count + 1)), got)
 
-  def test_hole_is_an_error(self):
+  def test_gap_is_an_error(self):
     sequencer = streams.EventSequencer(3)
     self.assertRaises(ValueError, sequencer.accept, streams.Event(5, b""))
