--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -58,7 +58,7 @@
     self.assertEqual("signed-by-i-1", answer.headers["response-signature"])
 
   @in_environment()
-  async def test_headers_of_the_router_never_come_from_a_caller(self, env):
+  async def test_callers_cannot_set_the_headers_of_the_router(self, env):
     # A caller forges headers that name its team, access the KV cache of another
     # request, or raise its priority. The server must see the router's values or
     # none, and never the caller's API key.
@@ -101,7 +101,7 @@
       self.assertEqual(200, answer.status)
 
   @in_environment()
-  async def test_lost_answer_of_an_unsafe_request_is_no_refusal(self, env):
+  async def test_lost_response_of_an_unsafe_request_gets_502(self, env):
     # The server runs a booking and the connection breaks before the response.
     # After a 503 the caller would book again; 502 leaves open whether it ran.
     env.servers["i-1"].behaviour.cut_after = 0
@@ -117,7 +117,7 @@
       self.assertEqual((200, b"i-2 /look/a"), (answer.status, answer.body))
 
   @in_environment()
-  async def test_answer_of_another_request_is_passed_over(self, env):
+  async def test_response_to_another_request_is_skipped(self, env):
     # A late response to an earlier request arrives first. The caller must get
     # the response to its own request, which follows.
     env.servers["i-1"].behaviour.stranger_first = True
@@ -125,7 +125,7 @@
     self.assertEqual(b"i-1 /book/a", answer.body)
 
   @in_environment()
-  async def test_second_answer_spoils_the_connection_only(self, env):
+  async def test_connection_with_a_second_response_is_not_reused(self, env):
     # The server sends a second response after the first. On a reused connection
     # it would be taken for the response to the next request.
     env.servers["i-1"].behaviour.extra_after = True
@@ -151,7 +151,7 @@
     self.assertEqual((200, b"i-1 /book/a"), (answer.status, answer.body))
 
   @in_environment()
-  async def test_server_that_is_another_is_not_asked_again(self, env):
+  async def test_misdirected_endpoint_is_dropped(self, env):
     # The address of a removed server now belongs to another one, which responds
     # with 421. The request did not run, and the entry must be dropped.
     listed = env.gateway.directory.endpoints.rows["i-1"].url
@@ -164,7 +164,7 @@
     self.assertNotIn("i-old", rows)
 
   @in_environment()
-  async def test_caller_that_leaves_ends_the_work(self, env):
+  async def test_request_is_cancelled_when_its_caller_disconnects(self, env):
     # The caller disconnects before the response. The server must soon see its
     # connection closed, so that it can abort the work.
     env.servers["i-1"].behaviour.work_s = 5.0
@@ -174,7 +174,7 @@
     await env.wait_until(lambda: env.servers["i-1"].seen[0].cancelled, 0.5)
 
   @in_environment()
-  async def test_silent_server_is_answered_for_at_the_timeout(self, env):
+  async def test_silent_server_gets_504_at_the_deadline(self, env):
     env.servers["i-1"].behaviour.work_s = 5.0
     with anyio.fail_after(1.0):
       answer = await env.call("/book/a", "r1", deadline_ms="400")
@@ -194,7 +194,7 @@
     await env.wait_until(lambda: tokens_spent(env) == 1000 + 5 * 4)
 
   @in_environment(servers=("i-1", "i-2"))
-  async def test_broken_stream_goes_on_at_another_server(self, env):
+  async def test_broken_stream_is_resumed_at_another_server(self, env):
     # A server breaks off in the middle of the third event. The rest must come
     # from another server in the same response, without missing or repeated
     # events.
@@ -213,7 +213,7 @@
       self.assertEqual((True, [1, 2, 3, 4, 5, 6]), (answer.whole, ids))
 
   @in_environment()
-  async def test_broken_stream_that_may_not_resume_does_not_look_whole(
+  async def test_broken_stream_of_a_route_without_resuming_is_cut_off(
       self, env
   ):
     env.servers["i-1"].behaviour.events = 6
@@ -223,7 +223,7 @@
     self.assertEqual(1, len(env.servers["i-1"].seen))
 
   @in_environment(prepaid=5_000)
-  async def test_budget_is_never_passed_and_says_when_it_is_used_up(self, env):
+  async def test_budget_is_not_exceeded_and_gets_402_when_used_up(self, env):
     # Each stream uses 1,020 of 5,000 tokens and reserves 1,100. The fifth does
     # not fit, and no reservation is left to be returned: 402.
     env.servers["i-1"].behaviour.events = 5
@@ -273,7 +273,9 @@
     self.assertTrue(0.7 <= float(answer.headers["retry-after"]) <= 1.5)
 
   @in_environment()
-  async def test_stale_configuration_denies_nothing_for_good(self, env):
+  async def test_stale_configuration_gets_503_for_unknown_routes_and_keys(
+      self, env
+  ):
     """Guards against a 404 for a route added while the store is unreachable."""
     env.store.faults.down = "busy"
     await anyio.sleep(2.5)
@@ -315,7 +317,7 @@
     self.assertEqual(9, known.configuration.version)
 
   @in_environment()
-  async def test_change_is_in_force_after_the_history_was_dropped(self, env):
+  async def test_change_takes_effect_after_the_history_was_dropped(self, env):
     # The store drops its history during a watch. The watch fails, and the
     # change must be found by a read.
     env.store.forget_history()
@@ -386,7 +388,7 @@
       del parser
 
   @in_environment()
-  async def test_stop_finishes_what_is_in_flight(self, env):
+  async def test_stop_finishes_requests_in_flight(self, env):
     # The platform stops the process while a booking is in flight. Its caller
     # must still get the response.
     env.servers["i-1"].behaviour.work_s = 0.6
@@ -403,7 +405,7 @@
 class StopTest(testtools.TestCase):
 
   @in_environment()
-  async def test_long_stream_is_given_most_of_the_time_to_stop(self, env):
+  async def test_long_stream_may_take_most_of_the_stop_timeout(self, env):
     # A long stream has just begun when the platform stops the process. It must
     # complete within the stop timeout. Reserving much of that time for returning
     # budgets cut the stream off.
