--- a/mustardfall/proxy/exchange.py
+++ b/mustardfall/proxy/exchange.py
@@ -29,7 +29,7 @@
 
 
 class MemoryLimiter(Protocol):
-  """Limits the memory that buffered response bodies take."""
+  """Limits the memory of buffered response bodies; see `http_server.Responder`."""
 
   def hold(self, size: int) -> bool:
     """Allocates `size` more bytes; returns False if they are not free now."""
--- a/mustardfall/proxy/forwarder.py
+++ b/mustardfall/proxy/forwarder.py
@@ -347,7 +347,7 @@
       body: bytes,
   ) -> None:
     context.first_output_at = self._clock.monotonic()
-    context.delivered_whole = head.status < _FIRST_NON_SUCCESS
+    context.body_delivered = head.status < _FIRST_NON_SUCCESS
     await context.responder.respond(head.status, list(head.headers), body)
     self._request_log.log_end(context, "answered", head.status)
 
--- a/mustardfall/proxy/request_context.py
+++ b/mustardfall/proxy/request_context.py
@@ -29,9 +29,10 @@
   """Identifies repetitions of the same request, see `routing.quarantine`."""
   reservation: allotment.Reservation | None = None
   sends: int = 0
+  """Number of attempts, each of which sent the request to an endpoint."""
   failed_connects: int = 0
   may_have_run: bool = False
-  delivered_whole: bool = False
+  body_delivered: bool = False
   """Whether a successful response that is no event stream was passed on."""
   reserve_wait_s: float = 0.0
   """How long the request waited for its reservation of tokens."""
@@ -50,7 +51,7 @@
     run, but its team received nothing: it is billed no tokens.
     """
     usage = self.request.usage
-    delivered = bool(self.sequencer.forwarded_events) or self.delivered_whole
+    delivered = bool(self.sequencer.forwarded_events) or self.body_delivered
     if usage is None or not delivered:
       return 0
     output = self.sequencer.forwarded_events * self.tokens_per_event
--- a/tests/platformcase.py
+++ b/tests/platformcase.py
@@ -68,13 +68,13 @@
 
 
 @dataclasses.dataclass
-class Answer:
-  """The response that a caller received; `whole` is whether it was complete."""
+class Response:
+  """A response, or the part of it that was received before a cut-off."""
 
   status: int
   headers: dict[str, str]
   body: bytes
-  whole: bool
+  is_complete: bool
 
 
 class Caller:
@@ -98,14 +98,16 @@
       data += self.parser.send(h11.Data(data=body))
     await self.stream.send(data + self.parser.send(h11.EndOfMessage()))
 
-  async def receive(self) -> Answer:
+  async def receive(self) -> Response:
     """Returns the next response."""
     head, body = None, bytearray()
     while True:
       try:
         event = self.parser.next_event()
       except h11.RemoteProtocolError:
-        return Answer(0 if head is None else head.status_code, {}, body, False)
+        return Response(
+            0 if head is None else head.status_code, {}, body, False
+        )
       if event is h11.NEED_DATA:
         try:
           self.parser.receive_data(await self.stream.receive())
@@ -119,9 +121,9 @@
         headers_ = {k.decode(): v.decode() for k, v in head.headers}
         if self.parser.our_state is h11.DONE:
           self.parser.start_next_cycle()
-        return Answer(head.status_code, headers_, bytes(body), True)
+        return Response(head.status_code, headers_, bytes(body), True)
       else:
-        return Answer(0, {}, bytes(body), False)
+        return Response(0, {}, bytes(body), False)
 
 
 class Environment:
@@ -205,7 +207,7 @@
     await self.wait_until(lambda: gateway.ready)
     return gateway
 
-  async def call(self, path: str, id_: str, **more: Any) -> Answer:
+  async def call(self, path: str, id_: str, **more: Any) -> Response:
     """Makes one request on a new connection."""
     async with self.caller() as caller:
       await caller.send(path, id_, **more)
--- a/tests/processcase.py
+++ b/tests/processcase.py
@@ -104,7 +104,7 @@
     """Waits until the router's readiness check succeeds."""
     host, _, port = self.settings["listen"]["ready"].rpartition(":")
     deadline = time.monotonic() + timeout_s
-    while not await _answers_ok(host, int(port)):
+    while not await _responds_ok(host, int(port)):
       if not self.is_running or time.monotonic() > deadline:
         raise AssertionError(f"not ready:\n{self.log[-4000:]}")
       await anyio.sleep(0.05)
@@ -131,7 +131,7 @@
         return await anyio.to_thread.run_sync(self._popen.wait)
 
 
-async def _answers_ok(host: str, port: int) -> bool:
+async def _responds_ok(host: str, port: int) -> bool:
   try:
     with anyio.fail_after(1.0):
       async with await anyio.connect_tcp(host, port) as stream:
@@ -184,7 +184,7 @@
 
   async def call(
       self, path: str, id_: str, body: bytes = b"", **more: str
-  ) -> platformcase.Answer:
+  ) -> platformcase.Response:
     """Makes one request on a new connection."""
     async with self.caller() as caller:
       await caller.send(path, id_, body, **more)
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -24,11 +24,11 @@
 
   async def _send_repeatedly(self, env, times, body=_POISON, path="/look/a"):
     """Sends the same request repeatedly; returns the responses."""
-    answers = []
+    responses = []
     for number in range(times):
-      answers.append(await self._send(env, number, body, path))
+      responses.append(await self._send(env, number, body, path))
       await anyio.sleep(0.05)
-    return answers
+    return responses
 
   def _poison(self, env):
     for server in env.servers.values():
@@ -40,23 +40,23 @@
     self._poison(env)
     async with anyio.create_task_group() as tg:
       tg.start_soon(env.restart_crashed_servers, _POISON)
-      answers = await self._send_repeatedly(env, 12)
+      responses = await self._send_repeatedly(env, 12)
       tg.cancel_scope.cancel()
     self.assertTrue(env.crash_count <= _MAX_CRASHES, env.crash_count)
-    self.assertEqual(503, answers[-1].status)
-    self.assertTrue(float(answers[-1].headers["retry-after"]) > 1)
+    self.assertEqual(503, responses[-1].status)
+    self.assertTrue(float(responses[-1].headers["retry-after"]) > 1)
 
   @test_gateway.in_environment(servers=tuple(f"i-{n}" for n in range(8)))
   async def test_concurrent_requests_are_served(self, env):
     """Guards against refusing requests that only ran beside such a request."""
     await test_gateway.fill_retry_budget(env)
     self._poison(env)
-    answers = []
+    responses = []
 
     async def _send_others(number):
       for n in range(12):
         body = f"other{number}-{n}".encode()
-        answers.append(await self._send(env, f"o{number}-{n}", body))
+        responses.append(await self._send(env, f"o{number}-{n}", body))
         await anyio.sleep(0.05)
 
     async with anyio.create_task_group() as tg:
@@ -67,8 +67,8 @@
           callers.start_soon(_send_others, number)
       tg.cancel_scope.cancel()
     self.assertTrue(env.crash_count <= _MAX_CRASHES, env.crash_count)
-    served = sum(answer.status == 200 for answer in answers)
-    self.assertTrue(served >= 0.95 * len(answers), served)
+    served = sum(response.status == 200 for response in responses)
+    self.assertTrue(served >= 0.95 * len(responses), served)
     self.assertEqual(1, len(env.gateway.quarantine.verdicts()))
 
   @test_gateway.in_environment(servers=("i-1", "i-2", "i-3"))
@@ -76,9 +76,9 @@
     """Guards against a quarantine because of connections that break."""
     for server in env.servers.values():
       server.behaviour.cut_after = 0
-    for answer in await self._send_repeatedly(env, 6):
-      self.assertEqual(502, answer.status)
+    for response in await self._send_repeatedly(env, 6):
+      self.assertEqual(502, response.status)
     for server in env.servers.values():
       server.behaviour.cut_after = None
-    answer = await self._send(env, "after")
-    self.assertEqual(200, answer.status)
+    response = await self._send(env, "after")
+    self.assertEqual(200, response.status)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -189,8 +189,8 @@
       self.assertTrue(env.router.is_running, env.router.log[-3000:])
       self.assertEqual(200, (await env.call("/look/a", "r1")).status)
     for number in range(20):
-      answer = await env.call("/text/a", f"s{number}", token_usage="10,5")
-      self.assertEqual(200, answer.status)
+      response = await env.call("/text/a", f"s{number}", token_usage="10,5")
+      self.assertEqual(200, response.status)
     self.assertNotIn("connection not accepted", env.router.log)
 
   @processcase.in_environment()
@@ -204,8 +204,8 @@
     results = []
 
     async def _request(number):
-      answer = await env.call("/book/a", f"r{number}")
-      results.append((answer.status, answer.headers.get("retry-after")))
+      response = await env.call("/book/a", f"r{number}")
+      results.append((response.status, response.headers.get("retry-after")))
 
     async with anyio.create_task_group() as tg:
       for number in range(150):
@@ -307,8 +307,8 @@
     most_mb = 0.0
 
     async def _request(number):
-      answer = await env.call("/book/a", f"r{number}", deadline_ms="20000")
-      statuses[answer.status] += 1
+      response = await env.call("/book/a", f"r{number}", deadline_ms="20000")
+      statuses[response.status] += 1
 
     async def _watch():
       nonlocal most_mb
@@ -347,12 +347,12 @@
       await env.call("/text/a", f"s{number}", token_usage="100,50")
       await anyio.sleep(0.05)
     self.assertTrue(env.router.is_running, env.router.log[-3000:])
-    answer = await env.call("/look/a", "r2")
-    self.assertEqual(200, answer.status)
+    response = await env.call("/look/a", "r2")
+    self.assertEqual(200, response.status)
     env.store.faults.down = ""
     await anyio.sleep(1.5)
-    answer = await env.call("/text/a", "last", token_usage="100,50")
-    self.assertEqual(200, answer.status, env.router.log[-3000:])
+    response = await env.call("/text/a", "last", token_usage="100,50")
+    self.assertEqual(200, response.status, env.router.log[-3000:])
 
   @processcase.in_environment()
   async def test_store_that_responds_with_invalid_data_at_the_stop(self, env):
@@ -371,8 +371,8 @@
     await env.router.wait_until_ready()
     for value in ([], {"limit": "x"}, None, 7, {"grants": 3}):
       env.store.put(ledger.key("acme"), value)
-      answer = await env.call("/text/a", f"t{value}", token_usage="100,50")
-      self.assertIn(answer.status, (200, 402, 429, 503))
+      response = await env.call("/text/a", f"t{value}", token_usage="100,50")
+      self.assertIn(response.status, (200, 402, 429, 503))
       self.assertTrue(env.router.is_running, env.router.log[-3000:])
       self.assertEqual(200, (await env.call("/look/a", "r1")).status)
 
@@ -383,7 +383,7 @@
       self, port: int, called_paths: list[str]
   ) -> None:
     """Responds to other routers' calls as another version might."""
-    answers = itertools.cycle(
+    responses = itertools.cycle(
         (
             b"{}",
             b"[]",
@@ -396,14 +396,14 @@
         )
     )
 
-    async def _answer(request, body, responder):
+    async def _respond(request, body, responder):
       del body
       called_paths.append(request.path)
-      await responder.respond(200, [], next(answers))
+      await responder.respond(200, [], next(responses))
 
     served = http_server.HttpServer(
         internal.Dialect(),
-        _answer,
+        _respond,
         lambda: configuration.DEFAULT_LIMITS,
         clock.SystemClock(),
     )
@@ -432,8 +432,8 @@
       await anyio.sleep(1.0)
       served = 0
       for number in range(12):
-        answer = await env.call("/text/a", f"s{number}", token_usage="100,50")
-        served += answer.status == 200
+        response = await env.call("/text/a", f"s{number}", token_usage="100,50")
+        served += response.status == 200
         self.assertTrue(env.router.is_running, env.router.log[-3000:])
       self.assertIn("/peer/reserve", called_paths)
       self.assertTrue(served >= 6, served)
@@ -472,5 +472,5 @@
           ):
             await stream.receive()
     self.assertTrue(env.router.is_running, env.router.log[-3000:])
-    answer = await env.call("/text/a", "last", token_usage="100,50")
-    self.assertEqual(200, answer.status, env.router.log[-3000:])
+    response = await env.call("/text/a", "last", token_usage="100,50")
+    self.assertEqual(200, response.status, env.router.log[-3000:])
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -44,18 +44,20 @@
 async def fill_retry_budget(env):
   """Makes requests that succeed, each of which adds to the retry budget."""
   for n in range(24):
-    answer = await env.call("/look/a", f"paid{n}")
-    assert answer.status == 200  # noqa: PLR2004
+    response = await env.call("/look/a", f"paid{n}")
+    assert response.status == 200  # noqa: PLR2004
 
 
 class PlainTest(testtools.TestCase):
 
   @in_environment()
   async def test_response_is_passed_on_unchanged(self, env):
-    answer = await env.call("/look/a?b=c", "r1")
-    self.assertEqual((200, b"i-1 /look/a?b=c"), (answer.status, answer.body))
-    self.assertEqual("r1", answer.headers["request-id"])
-    self.assertEqual("signed-by-i-1", answer.headers["response-signature"])
+    response = await env.call("/look/a?b=c", "r1")
+    self.assertEqual(
+        (200, b"i-1 /look/a?b=c"), (response.status, response.body)
+    )
+    self.assertEqual("r1", response.headers["request-id"])
+    self.assertEqual("signed-by-i-1", response.headers["response-signature"])
 
   @in_environment()
   async def test_callers_cannot_set_the_headers_of_the_router(self, env):
@@ -80,8 +82,8 @@
   @in_environment()
   async def test_unknown_key_and_unknown_route(self, env):
     self.assertEqual(404, (await env.call("/nowhere/", "r1")).status)
-    answer = await env.call("/look/a", "r2", credential="nobody's")
-    self.assertEqual(401, answer.status)
+    response = await env.call("/look/a", "r2", credential="nobody's")
+    self.assertEqual(401, response.status)
     self.assertEqual([], env.servers["i-1"].seen)
 
   @in_environment(servers=("i-1", "i-2"))
@@ -92,37 +94,37 @@
     await fill_retry_budget(env)
     env.servers["i-1"].behaviour.not_run = True
     env.servers["i-2"].behaviour.not_run = True
-    answer = await env.call("/book/a", "r1")
-    self.assertEqual(503, answer.status)
-    self.assertIn("retry-after", answer.headers)
+    response = await env.call("/book/a", "r1")
+    self.assertEqual(503, response.status)
+    self.assertIn("retry-after", response.headers)
     env.servers["i-2"].behaviour.not_run = False
     for n in range(4):
-      answer = await env.call("/book/a", f"s{n}")
-      self.assertEqual(200, answer.status)
+      response = await env.call("/book/a", f"s{n}")
+      self.assertEqual(200, response.status)
 
   @in_environment()
   async def test_lost_response_of_an_unsafe_request_gets_502(self, env):
     # The server runs a booking and the connection breaks before the response.
     # After a 503 the caller would book again; 502 leaves open whether it ran.
     env.servers["i-1"].behaviour.cut_after = 0
-    answer = await env.call("/book/a", "r1")
-    self.assertEqual(502, answer.status)
+    response = await env.call("/book/a", "r1")
+    self.assertEqual(502, response.status)
     self.assertEqual(1, len(env.servers["i-1"].seen))
 
   @in_environment(servers=("i-1", "i-2"))
   async def test_safe_request_with_a_lost_response_is_retried(self, env):
     env.servers["i-1"].behaviour.cut_after = 0
     for n in range(4):
-      answer = await env.call("/look/a", f"r{n}")
-      self.assertEqual((200, b"i-2 /look/a"), (answer.status, answer.body))
+      response = await env.call("/look/a", f"r{n}")
+      self.assertEqual((200, b"i-2 /look/a"), (response.status, response.body))
 
   @in_environment()
   async def test_response_to_another_request_is_skipped(self, env):
     # A late response to an earlier request arrives first. The caller must get
     # the response to its own request, which follows.
     env.servers["i-1"].behaviour.stranger_first = True
-    answer = await env.call("/book/a", "r1")
-    self.assertEqual(b"i-1 /book/a", answer.body)
+    response = await env.call("/book/a", "r1")
+    self.assertEqual(b"i-1 /book/a", response.body)
 
   @in_environment()
   async def test_connection_with_a_second_response_is_not_reused(self, env):
@@ -130,8 +132,8 @@
     # it would be taken for the response to the next request.
     env.servers["i-1"].behaviour.extra_after = True
     for n in range(3):
-      answer = await env.call("/book/a", f"r{n}")
-      self.assertEqual(b"i-1 /book/a", answer.body)
+      response = await env.call("/book/a", f"r{n}")
+      self.assertEqual(b"i-1 /book/a", response.body)
       await anyio.sleep(0.02)
     self.assertEqual(3, env.servers["i-1"].connections)
 
@@ -139,16 +141,16 @@
   async def test_unsigned_or_encoded_success_is_not_passed_on(self, env):
     for field in ("unsigned", "encoded"):
       setattr(env.servers["i-1"].behaviour, field, True)
-      answer = await env.call("/book/a", field)
-      self.assertEqual(502, answer.status)
-      self.assertNotIn("response-signature", answer.headers)
+      response = await env.call("/book/a", field)
+      self.assertEqual(502, response.status)
+      self.assertNotIn("response-signature", response.headers)
       setattr(env.servers["i-1"].behaviour, field, False)
 
   @in_environment()
   async def test_response_without_length_is_complete_at_the_close(self, env):
     env.servers["i-1"].behaviour.unframed = True
-    answer = await env.call("/book/a", "r1")
-    self.assertEqual((200, b"i-1 /book/a"), (answer.status, answer.body))
+    response = await env.call("/book/a", "r1")
+    self.assertEqual((200, b"i-1 /book/a"), (response.status, response.body))
 
   @in_environment()
   async def test_misdirected_endpoint_is_dropped(self, env):
@@ -177,8 +179,8 @@
   async def test_silent_server_gets_504_at_the_deadline(self, env):
     env.servers["i-1"].behaviour.work_s = 5.0
     with anyio.fail_after(1.0):
-      answer = await env.call("/book/a", "r1", deadline_ms="400")
-    self.assertEqual(504, answer.status)
+      response = await env.call("/book/a", "r1", deadline_ms="400")
+    self.assertEqual(504, response.status)
 
 
 class StreamTest(testtools.TestCase):
@@ -188,9 +190,9 @@
   @in_environment()
   async def test_stream_is_billed_for_what_was_delivered(self, env):
     env.servers["i-1"].behaviour.events = 5
-    answer = await env.call("/once/a", "r1", **self.USAGE)
-    self.assertTrue(answer.whole)
-    self.assertEqual(5, answer.body.count(b"data: x"))
+    response = await env.call("/once/a", "r1", **self.USAGE)
+    self.assertTrue(response.is_complete)
+    self.assertEqual(5, response.body.count(b"data: x"))
     await env.wait_until(lambda: tokens_spent(env) == 1000 + 5 * 4)
 
   @in_environment(servers=("i-1", "i-2"))
@@ -204,13 +206,13 @@
     env.servers["i-1"].behaviour.cut_after = 2
     env.servers["i-1"].behaviour.half_event = True
     for n in range(4):
-      answer = await env.call("/text/a", f"r{n}", **self.USAGE)
+      response = await env.call("/text/a", f"r{n}", **self.USAGE)
       ids = [
           int(i)
-          for i in answer.body.decode().split("id: ")[1:]
+          for i in response.body.decode().split("id: ")[1:]
           for i in [i.split("\n")[0]]
       ]
-      self.assertEqual((True, [1, 2, 3, 4, 5, 6]), (answer.whole, ids))
+      self.assertEqual((True, [1, 2, 3, 4, 5, 6]), (response.is_complete, ids))
 
   @in_environment()
   async def test_broken_stream_of_a_route_without_resuming_is_cut_off(
@@ -218,8 +220,8 @@
   ):
     env.servers["i-1"].behaviour.events = 6
     env.servers["i-1"].behaviour.cut_after = 2
-    answer = await env.call("/once/a", "r1", **self.USAGE)
-    self.assertEqual((200, False), (answer.status, answer.whole))
+    response = await env.call("/once/a", "r1", **self.USAGE)
+    self.assertEqual((200, False), (response.status, response.is_complete))
     self.assertEqual(1, len(env.servers["i-1"].seen))
 
   @in_environment(prepaid=5_000)
@@ -229,8 +231,8 @@
     env.servers["i-1"].behaviour.events = 5
     statuses = []
     for n in range(6):
-      answer = await env.call("/once/a", f"r{n}", **self.USAGE)
-      statuses.append(answer.status)
+      response = await env.call("/once/a", f"r{n}", **self.USAGE)
+      statuses.append(response.status)
     self.assertEqual([200] * 4, statuses[:4])
     self.assertNotIn(200, statuses[4:])
     self.assertEqual(402, statuses[-1])
@@ -246,8 +248,8 @@
     known = env.gateway.directory
     await env.wait_until(lambda: known.configuration.version == 5)
     await anyio.sleep(0.5)
-    answer = await env.call("/once/a", "r3", **self.USAGE)
-    self.assertEqual(200, answer.status)
+    response = await env.call("/once/a", "r3", **self.USAGE)
+    self.assertEqual(200, response.status)
 
 
 class StoreTroubleTest(testtools.TestCase):
@@ -261,16 +263,16 @@
     await env.call("/once/a", "r0", **StreamTest.USAGE)
     env.store.faults.down = "silent"
     await anyio.sleep(0.8)
-    answer = await env.call("/once/a", "r1", **StreamTest.USAGE)
-    self.assertEqual(200, answer.status)
+    response = await env.call("/once/a", "r1", **StreamTest.USAGE)
+    self.assertEqual(200, response.status)
     self.assertEqual(200, (await env.call("/look/a", "r2")).status)
     with anyio.fail_after(1.0):
       usage = {"token_usage": "80000,100", "model": "m"}
-      answer = await env.call("/once/a", "r3", **usage)
-    self.assertEqual(429, answer.status)
+      response = await env.call("/once/a", "r3", **usage)
+    self.assertEqual(429, response.status)
     # The store is still unreachable then, so not immediately: a third of the
     # request's time.
-    self.assertTrue(0.7 <= float(answer.headers["retry-after"]) <= 1.5)
+    self.assertTrue(0.7 <= float(response.headers["retry-after"]) <= 1.5)
 
   @in_environment()
   async def test_stale_configuration_gets_503_for_unknown_routes_and_keys(
@@ -280,9 +282,9 @@
     env.store.faults.down = "busy"
     await anyio.sleep(2.5)
     for path, key in (("/nowhere/", platformcase.KEY), ("/look/a", "new")):
-      answer = await env.call(path, f"r{key}", credential=key)
-      self.assertEqual(503, answer.status)
-      self.assertTrue(0.0 < float(answer.headers["retry-after"]) <= 2.0)
+      response = await env.call(path, f"r{key}", credential=key)
+      self.assertEqual(503, response.status)
+      self.assertTrue(0.0 < float(response.headers["retry-after"]) <= 2.0)
     env.store.faults.down = ""
     current = env.gateway.directory
     await env.wait_until(lambda: current.unconfirmed_s < 1.0)
@@ -364,8 +366,8 @@
     long = b"GET /look/a HTTP/1.1\r\nhost: shop.example\r\nrequest-id: r\r\n"
     long += b"x: " + b"y" * 9000 + b"\r\n\r\n"
     self.assertIn(b" 431 ", await self._raw(env, long))
-    answer = await env.call("/look/a", "r1", body=b"x" * 70_000)
-    self.assertEqual(413, answer.status)
+    response = await env.call("/look/a", "r1", body=b"x" * 70_000)
+    self.assertEqual(413, response.status)
     self.assertEqual([], env.servers["i-1"].seen)
 
   @in_environment()
@@ -373,8 +375,8 @@
     async with env.caller() as caller:
       for n in range(3):
         await caller.send("/look/a", f"r{n}", b"abc")
-        answer = await caller.receive()
-        self.assertEqual(f"r{n}", answer.headers["request-id"])
+        response = await caller.receive()
+        self.assertEqual(f"r{n}", response.headers["request-id"])
     get = "GET /look/{0} HTTP/1.1\r\nhost: shop.example\r\nrequest-id: {0}\r\n"
     get += "credential: key-of-acme\r\n\r\n"
     async with await anyio.connect_tcp("127.0.0.1", env.port) as stream:
@@ -398,8 +400,8 @@
       env.stop.set()
       await anyio.sleep(0.1)
       self.assertFalse(env.gateway.ready)
-      answer = await caller.receive()
-    self.assertEqual((200, True), (answer.status, answer.whole))
+      response = await caller.receive()
+    self.assertEqual((200, True), (response.status, response.is_complete))
 
 
 class StopTest(testtools.TestCase):
@@ -415,8 +417,8 @@
       await caller.send("/once/a", "r1", **StreamTest.USAGE)
       await env.wait_until(lambda: env.servers["i-1"].seen)
       env.stop.set()
-      answer = await caller.receive()
-    self.assertEqual((200, True), (answer.status, answer.whole))
+      response = await caller.receive()
+    self.assertEqual((200, True), (response.status, response.is_complete))
 
   @in_environment()
   async def test_stop_ends_in_time_while_the_store_is_silent(self, env):
@@ -480,7 +482,7 @@
           pool = asker[0].accounts.pool
           # The grant that it took as the only router is returned first.
           await env.wait_until(lambda: not pool.table.by_budget.get("acme"))
-          asker[0].accounts.peers._send = _no_answer
+          asker[0].accounts.peers._send = _no_response
           found = await pool.reserve("acme", 1100, "acme")
           self.assertIsNotNone(found)
           rows = pool.table.rows.values()
@@ -489,7 +491,7 @@
     anyio.run(go)
 
 
-async def _no_answer(url, body, timeout_s):
+async def _no_response(url, body, timeout_s):
   raise errors.PeerUnavailableError("no answer")
 
 
--- a/tests/test_request_context.py
+++ b/tests/test_request_context.py
@@ -50,7 +50,7 @@
     )
 
   def test_answer_in_one_piece_counts_its_prompt(self):
-    self.assertEqual(900, _context(delivered_whole=True).used_tokens)
+    self.assertEqual(900, _context(body_delivered=True).used_tokens)
 
   def test_plain_requests_use_nothing(self):
-    self.assertEqual(0, _context(usage=None, delivered_whole=True).used_tokens)
+    self.assertEqual(0, _context(usage=None, body_delivered=True).used_tokens)
