--- a/mustardfall/gateway.py
+++ b/mustardfall/gateway.py
@@ -52,11 +52,11 @@
 
 _DRAIN_DELAY_S = 3.0
 """How long callers' idle connections stay open after SIGTERM. The load balancer
-checks readiness every second and removes a host after two failed checks; a
-caller that uses its connection meanwhile gets `Connection: close`."""
+checks readiness every second and removes a host after two failed checks. From
+then on idle connections are closed and responses say `Connection: close`."""
 _BUDGET_RETURN_SHARE = 0.095
-"""Share of the stop timeout reserved for returning budgets to the store: 0.7 s of
-8 s, many times what the store takes if it responds. Cutting streams off to
+"""Share of the stop timeout reserved for returning budgets to the store: 0.7 s
+of 8 s, many times what the store takes if it responds. Cutting streams off to
 reserve more would be worse than returning tokens late: the restarted process
 returns them."""
 
@@ -186,7 +186,7 @@
     return [team.name for team in teams if team.prepaid is not None]
 
   def take_configuration(self, new: configuration.Configuration) -> None:
-    """Applies a newer configuration; returns grants of budgets that it reduces."""
+    """Applies a newer configuration, and retires grants of reduced budgets."""
     old = self.directory.configuration
     if not self.directory.take_configuration(new) or old is None:
       return
@@ -298,7 +298,7 @@
   def _serve_internal(
       self, tasks: abc.TaskGroup, ready: settings.Listen
   ) -> None:
-    """Serves other routers, the load balancer's readiness checks and metrics."""
+    """Serves other routers, the load balancer's checks and the metrics."""
     peer = self.config.peer_listen
     peer_handler = internal.PeerHandler(
         self.accounts,
--- a/mustardfall/proxy/__init__.py
+++ b/mustardfall/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The data path: an HTTP server for callers and an HTTP client for endpoints."""
+"""The data path: HTTP server for callers, and forwarding to endpoints."""
--- a/mustardfall/proxy/admission.py
+++ b/mustardfall/proxy/admission.py
@@ -1,4 +1,4 @@
-"""Admission control: matches the route, checks the API key, reserves and bills tokens."""
+"""Admission control: routes, API keys, and the reservation of tokens."""
 
 import random
 
@@ -103,7 +103,7 @@
     )
 
   def _require_current_configuration(self, version: int) -> None:
-    """Refuses with Retry-After if a newer configuration may allow the request."""
+    """Refuses with Retry-After if the configuration may be out of date."""
     age_s = self._directory.unconfirmed_s
     if age_s > _MAX_UNCONFIRMED_S:
       retry_after_s = self.jittered_retry_after(_MAX_UNCONFIRMED_S)
--- a/mustardfall/proxy/connection_pool.py
+++ b/mustardfall/proxy/connection_pool.py
@@ -1,4 +1,4 @@
-"""A pool of kept-alive connections to endpoints, the store and other routers."""
+"""A pool of connections to endpoints, the store and other routers."""
 
 import collections
 import dataclasses
--- a/mustardfall/proxy/endpoint_selector.py
+++ b/mustardfall/proxy/endpoint_selector.py
@@ -48,7 +48,7 @@
       )
 
   def record_response_time(self, took_s: float) -> None:
-    """Records how long the response took to begin, or was waited for in vain."""
+    """Records how long the response took to begin, or was waited for."""
     if not self._is_generation:
       return
     place = self._place
@@ -133,7 +133,7 @@
   def start_attempt(
       self, context: request_context_lib.RequestContext, place: placement.Place
   ) -> EndpointAttempt:
-    """Counts a request as sent to an endpoint; returns the attempt to be ended."""
+    """Counts a request as sent; the caller ends the returned attempt."""
     return EndpointAttempt(
         context, place, self._directory, self._load_share, self._trackers
     )
--- a/mustardfall/proxy/exchange.py
+++ b/mustardfall/proxy/exchange.py
@@ -29,7 +29,7 @@
 
 
 class MemoryLimiter(Protocol):
-  """Limits the memory of buffered response bodies; see `http_server.Responder`."""
+  """Limits the memory of buffered response bodies."""
 
   def hold(self, size: int) -> bool:
     """Allocates `size` more bytes; returns False if they are not free now."""
--- a/mustardfall/proxy/forwarder.py
+++ b/mustardfall/proxy/forwarder.py
@@ -1,4 +1,4 @@
-"""Serves requests: admits them, forwards them to endpoints and relays responses.
+"""Serves requests: admits and forwards them, and relays the responses.
 
 The error response follows from the attempts that were made: if there was none,
 or each endpoint reported that it did not run the request, the request has not
@@ -40,14 +40,14 @@
 """Statuses from 300 on are not successful."""
 _SERVER_ERROR = 500
 _MAX_BODY_BYTES = 8_388_608
-"""Responses that are no event streams are read completely before they are
-passed on, so that no response is begun that then breaks off. Longer ones fail."""
+"""Largest response that is no event stream. It is read completely before it is
+passed on, so that no response is begun that then breaks off."""
 _CONNECT_S = 0.3
 """Timeout of connecting to an endpoint. Within a region it takes 2 ms; if the
 endpoint's accept queue is full, the kernel retries after a second, too late."""
 _MAX_FAILED_CONNECTS = 4
-"""Most failed connections per request; they are no attempts, since the endpoints
-did not run anything."""
+"""Most failed connections per request. They do not count as attempts, since the
+endpoints did not run anything."""
 _RESPONSE_TIMEOUT_FACTOR = 1.2
 """Multiple of the route's latency objective after which another endpoint is
 tried. A later response is worth less, and the route's timeout (about three
@@ -57,11 +57,11 @@
 another endpoint has to process the prompt again, and callers wait for four
 objectives."""
 _STREAM_STALL_S = 1.0
-"""Pause in a stream after which it is resumed at another endpoint. Engines pause
-for tens of ms; callers disconnect after two seconds or more."""
+"""Pause in a stream after which it is resumed at another endpoint. Engines
+pause for tens of ms; callers disconnect after two seconds or more."""
 _DEADLINE_MARGIN_S = 0.03
-"""Subtracted from a request's deadline for the router's own work and for sending
-the response to the caller."""
+"""Subtracted from a request's deadline for the router's own work and for
+sending the response to the caller."""
 
 
 class _RetryableError(Exception):
--- a/mustardfall/proxy/http_server.py
+++ b/mustardfall/proxy/http_server.py
@@ -62,7 +62,7 @@
     self.ended = False
 
   def hold(self, size: int) -> bool:
-    """Allocates `size` bytes for a response; returns False if they don't fit."""
+    """Allocates `size` bytes for a response; returns whether they fit."""
     return self._connection.allocate_response(size)
 
   async def hold_whole(self, size: int) -> bool:
@@ -436,7 +436,7 @@
       raise errors.BusyError("no room for a body", _RETRY_AFTER_S)
 
   def allocate_response(self, size: int) -> bool:
-    """Allocates `size` bytes for a response; returns False if they don't fit."""
+    """Allocates `size` bytes for a response; returns whether they fit."""
     return self._server.allocate(
         self._request_allocation, resource_limiter_lib.BODY_COPIES * size
     )
--- a/mustardfall/proxy/messages.py
+++ b/mustardfall/proxy/messages.py
@@ -63,7 +63,7 @@
   """What the router adds to a request that it forwards to an endpoint."""
 
   endpoint: str
-  """The endpoint's id; another server at its address must not run the request."""
+  """The endpoint's id; another server at its address must refuse the request."""
   team: str
   time_left_s: float
   priority: int
@@ -84,7 +84,7 @@
   status: int
   request_id: str
   signed: bool
-  """Whether it bears the signature that endpoints add to their own responses."""
+  """Whether it bears the signature that endpoints add to their responses."""
   not_run: bool
   """Whether the endpoint reports that it did not run the request."""
   misdirected: bool
--- a/mustardfall/proxy/refusals.py
+++ b/mustardfall/proxy/refusals.py
@@ -61,7 +61,7 @@
 
 
 def budget_exhausted(whereabouts: known.Whereabouts | None) -> RefusalError:
-  """The budget cannot cover the request even if all reservations are returned."""
+  """The budget cannot cover the request, whatever tokens are returned."""
   facts = whereabouts._asdict() if whereabouts else None
   return RefusalError(402, "budget used up", facts=facts)
 
@@ -69,7 +69,7 @@
 def tokens_unavailable(
     whereabouts: known.Whereabouts | None, retry_after_s: float
 ) -> RefusalError:
-  """The budget's tokens are held by other routers, or the store is unreachable."""
+  """The tokens are held by other routers, or the store is unreachable."""
   facts = whereabouts._asdict() if whereabouts else None
   return RefusalError(429, "budget cannot cover it now", retry_after_s, facts)
 
--- a/mustardfall/proxy/request_context.py
+++ b/mustardfall/proxy/request_context.py
@@ -89,7 +89,7 @@
 
 
 def prompt_for_placement(request: messages.Request) -> placement.Prompt:
-  """Returns the prompt's shared prefix and the sizes, for cache-aware placement.
+  """Returns the prompt's shared prefix and sizes, for cache-aware placement.
 
   The last part of a prompt is unique to the request, so the part before it
   identifies the longest prefix that other requests may have cached.
--- a/mustardfall/proxy/request_log.py
+++ b/mustardfall/proxy/request_log.py
@@ -76,7 +76,7 @@
       outcome: str,
       status: int,
   ) -> None:
-    """Records a request that an endpoint answered or whose caller disconnected."""
+    """Records a request that got a response, or whose caller disconnected."""
     now = self._clock.monotonic()
     first_s = (
         None
--- a/mustardfall/proxy/resource_limiter.py
+++ b/mustardfall/proxy/resource_limiter.py
@@ -39,8 +39,9 @@
 CONNECTION_BYTES = 16_384
 """Memory of an idle connection: socket, buffers and a waiting task."""
 REQUEST_OVERHEAD_BYTES = 65_536
-"""Memory of a request in flight besides its bodies: tasks, parsers, a connection
-to its endpoint, and the buffers filled for a caller that does not read."""
+"""Memory of a request in flight besides its bodies: tasks, parsers, the
+connection to its endpoint, and buffers filled for a caller that does not read.
+"""
 BODIES_SHARE = 0.75
 """Share of the memory that request bodies may take, so that requests without a
 body can still be served."""
@@ -66,7 +67,7 @@
 
   @property
   def is_exhausted(self) -> bool:
-    """Whether a connection is over the limit, or no further request would fit."""
+    """Whether the connection limit is exceeded or no further request fits."""
     if self.connections > self.max_connections:
       return True
     return not self.fits(REQUEST_OVERHEAD_BYTES)
@@ -82,7 +83,7 @@
     return {"connections": self.connections, "held_bytes": self.held_bytes}
 
   def new_allocation(self) -> "Allocation":
-    """Returns an empty allocation, to be closed with its connection or request."""
+    """Returns an allocation; its connection or request closes it at its end."""
     return Allocation(self)
 
   def fits(self, size: int, share: float = 1.0) -> bool:
--- a/tests/platformcase.py
+++ b/tests/platformcase.py
@@ -1,4 +1,4 @@
-"""A test fixture: the emulated platform and gateways in one process, on loopback."""
+"""A test fixture: the emulated platform and gateways in one process."""
 
 import contextlib
 import dataclasses
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -1,8 +1,8 @@
 """Quarantine of a request that crashes the servers that run it.
 
 The same request (path, caller and body) is sent repeatedly to any router. Each
-server that begins to run it crashes and is replaced after a delay. Requests that
-run at the same time or later must still be served.
+server that begins to run it crashes and is replaced after a delay. Requests
+that run at the same time or later must still be served.
 """
 
 import anyio
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -409,8 +409,8 @@
   @in_environment()
   async def test_long_stream_may_take_most_of_the_stop_timeout(self, env):
     # A long stream has just begun when the platform stops the process. It must
-    # complete within the stop timeout. Reserving much of that time for returning
-    # budgets cut the stream off.
+    # complete within the stop timeout. Reserving much of that time for
+    # returning budgets cut the stream off.
     behaviour = env.servers["i-1"].behaviour
     behaviour.events, behaviour.gap_s = 15, 0.1
     async with env.caller() as caller:
@@ -465,9 +465,9 @@
 
   def test_fallback_for_an_owner_takes_only_what_it_needs(self):
     # The router that owns a budget does not respond, and another one takes a
-    # grant in its place. It must take only what the request needs: a larger grant
-    # would be idle once the owner is back, and the owner would have to refuse
-    # requests that the budget covers.
+    # grant in its place. It must take only what the request needs: a larger
+    # grant would be idle once the owner is back, and the owner would have to
+    # refuse requests that the budget covers.
     async def go():
       with anyio.fail_after(20):
         async with platformcase.running(servers=("i-1",)) as env:
