--- a/mustardfall/proxy/forwarder.py
+++ b/mustardfall/proxy/forwarder.py
@@ -152,8 +152,6 @@
         self._fleet.most(),
     )
 
-  # Serving.
-
   async def _serve(self, context: request_context_lib.RequestContext) -> None:
     remaining_s = (
         context.deadline - self._clock.monotonic() - _DEADLINE_MARGIN_S
--- a/mustardfall/proxy/messages.py
+++ b/mustardfall/proxy/messages.py
@@ -63,7 +63,7 @@
   """What the router adds to a request that it forwards to an endpoint."""
 
   endpoint: str
-  """The endpoint's id; another server at its address must refuse the request."""
+  """The endpoint's id; another server at its address must refuse it."""
   team: str
   time_left_s: float
   priority: int
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -412,7 +412,7 @@
   @processcase.in_environment()
   async def test_peer_of_another_version_responds_with_other_fields(self, env):
     # A budget's owner is a router of another version, whose responses have
-    # other fields. Each such response ended the calling router. It must continue
+    # other fields. Each such response ended the calling router. It must go on
     # as if there had been no response, and take tokens from the store itself.
     port, called_paths = fleet.free_port(), []
     for number in range(8):
