--- a/mustardfall/gateway.py
+++ b/mustardfall/gateway.py
@@ -1,9 +1,10 @@
-"""The entry host's application object for deployments behind an adapter.
+"""The application object of a router on a platform.
 
-Like `router.Router`, but what it serves is described by the operators'
-configuration of a platform: routes, services, teams with prepaid budgets.
-The adapter gives it a store, a dialect and news of the deployment; all
-decisions are here and in the parts it wires.
+It corresponds to `router.Router`, but serves what the operators' configuration
+of the platform describes: routes, services, and teams with prepaid budgets. The
+platform's adapter provides the store's client, the header dialect and updates
+of configuration and endpoints. `Gateway` creates the components that do the
+rest and connects them.
 """
 
 from collections.abc import Awaitable, Callable
@@ -31,15 +32,15 @@
 from mustardfall.membership import relay as relay_lib
 from mustardfall.membership import trackers as trackers_lib
 from mustardfall.membership import verdicts as verdicts_lib
-from mustardfall.proxy import calls
+from mustardfall.proxy import connection_pool as connection_pool_lib
+from mustardfall.proxy import crash_guard as crash_guard_lib
+from mustardfall.proxy import endpoint_selector as endpoint_selector_lib
 from mustardfall.proxy import forwarder as forwarder_lib
-from mustardfall.proxy import front
-from mustardfall.proxy import guard as guard_lib
+from mustardfall.proxy import http_client
+from mustardfall.proxy import http_server
 from mustardfall.proxy import internal
-from mustardfall.proxy import links as links_lib
 from mustardfall.proxy import messages
-from mustardfall.proxy import placer as placer_lib
-from mustardfall.proxy import room as room_lib
+from mustardfall.proxy import resource_limiter as resource_limiter_lib
 from mustardfall.routing import configuration
 from mustardfall.routing import directory as directory_lib
 from mustardfall.routing import endpoints
@@ -49,21 +50,22 @@
 
 logger = logging.getLogger(__name__)
 
-_RELEASE_S = 3.0
-"""After SIGTERM, callers' idle connections are kept this long: the balancer
-asks every second and takes a host out after two misses, and whoever uses
-the connection meanwhile is told that it closes."""
-_HAND_BACK_SHARE = 0.095
-"""Kept of the time to stop for handing the budgets back: 0.7 s of 8 s, many
-times what the store takes when it answers. A stream that is cut for more is
-worse than tokens handed back late: the next life gives them back."""
+_DRAIN_DELAY_S = 3.0
+"""How long callers' idle connections stay open after SIGTERM. The load balancer
+checks readiness every second and removes a host after two failed checks. From
+then on idle connections are closed and responses say `Connection: close`."""
+_BUDGET_RETURN_SHARE = 0.095
+"""Share of the stop timeout reserved for returning budgets to the store: 0.7 s
+of 8 s, many times what the store takes if it responds. Cutting streams off to
+reserve more would be worse than returning tokens late: the restarted process
+returns them."""
 
 
-class _Page(NamedTuple):
-  """Something served beside callers."""
+class _InternalService(NamedTuple):
+  """An internal port and its handler."""
 
   name: str
-  handle: front.Handler
+  handle: http_server.Handler
   host: str
   port: int
 
@@ -72,10 +74,10 @@
   """One router of a platform deployment.
 
   Args:
-    config: the router's settings, whole.
+    config: all of the router's settings.
     clock: the time source.
-    dialect: the deployment's headers.
-    make_store: makes the store's client from a caller.
+    dialect: decodes and encodes the deployment's headers.
+    make_store: creates the store's client from an HTTP client.
     store_headers: sent with each call to the store.
   """
 
@@ -84,18 +86,28 @@
       config: settings.Router,
       clock: clock_lib.Clock,
       dialect: messages.Dialect,
-      make_store: Callable[[calls.Caller], protocol.Store],
+      make_store: Callable[[http_client.HttpClient], protocol.Store],
       store_headers: tuple[messages.Header, ...] = (),
   ) -> None:
     self.config = config
     self.clock = clock
     self.bus = events.Bus()
     self.instruments = metrics.Instruments(config.name)
-    self._room = room_lib.for_callers(config.limits)
-    self.links = links_lib.Links(clock, self._room.most_connections)
+    self._resource_limiter = resource_limiter_lib.new_caller_limiter(
+        config.limits
+    )
+    self.connection_pool = connection_pool_lib.ConnectionPool(
+        clock, self._resource_limiter.max_connections
+    )
     self.overhead = overhead_lib.Overhead(self.instruments)
-    self.kv = make_store(calls.Caller(self.links, self.overhead, store_headers))
-    self._peer_caller = calls.Caller(self.links, self.overhead)
+    self.kv = make_store(
+        http_client.HttpClient(
+            self.connection_pool, self.overhead, store_headers
+        )
+    )
+    self._peer_client = http_client.HttpClient(
+        self.connection_pool, self.overhead
+    )
     self.directory = directory_lib.Directory(
         config.scheduler, clock, config.first_start
     )
@@ -104,7 +116,7 @@
         clock,
         self.kv,
         self.bus,
-        self._post,
+        self._call_peer,
         lambda customer: policy.CONFIGURED,
         self._limit_of,
         budgets=self._budgets,
@@ -121,7 +133,7 @@
     self.trackers = trackers_lib.Trackers(
         self.accounts.members, self.datagrams, clock
     )
-    self._placer = placer_lib.Placer(
+    self._endpoint_selector = endpoint_selector_lib.EndpointSelector(
         config, self.directory, self.load_share, self.trackers
     )
     self.copies = copies_lib.Copies(clock)
@@ -138,17 +150,17 @@
         clock,
     )
     self.relay = relay_lib.Relay(
-        self.accounts.members, self._post, self.copies, clock
+        self.accounts.members, self._call_peer, self.copies, clock
     )
     self._dialect = dialect
     self.stopping = False
-    self.front: front.Front | None = None
+    self.http_server: http_server.HttpServer | None = None
 
-  async def _post(self, url: str, body: dict, timeout_s: float) -> dict:
+  async def _call_peer(self, url: str, body: dict, timeout_s: float) -> dict:
     """Calls another router; see `peers.Post`."""
     address, _, path = url.removeprefix("http://").partition("/")
     try:
-      reply = await self._peer_caller.call(
+      reply = await self._peer_client.call(
           address, "POST", f"/{path}", json.dumps(body).encode(), timeout_s
       )
       if reply.status != 200:  # noqa: PLR2004
@@ -174,7 +186,7 @@
     return [team.name for team in teams if team.prepaid is not None]
 
   def take_configuration(self, new: configuration.Configuration) -> None:
-    """Puts a newer configuration in force, and reduced budgets with it."""
+    """Applies a newer configuration, and retires grants of reduced budgets."""
     old = self.directory.configuration
     if not self.directory.take_configuration(new) or old is None:
       return
@@ -192,30 +204,30 @@
           },
       )
       if (team.prepaid or 0) < (before.prepaid or 0):
-        # Tokens granted under the old limit may not fit under the new
-        # one; they go back, and are granted anew if they do.
+        # Tokens granted under the old limit may exceed the new one. They are
+        # returned, and granted again if the new limit allows.
         self.accounts.pool.retire(name)
 
   async def take_endpoints(self, hosts: list[endpoints.Host]) -> None:
-    """Takes a complete list of endpoints in.
+    """Applies a complete list of endpoints.
 
-    Idle connections to a server that has gone, or was started again, lead
-    nowhere: a request sent on one may have run, as far as is known, and
-    one that must not run twice is lost.
+    Idle connections to servers that were removed or restarted are closed. A
+    request sent on one would fail as one that may have run, and could not be
+    retried if it must not run twice.
     """
     before = self._lives_by_address()
     self.directory.take_endpoints(hosts)
     after = self._lives_by_address()
     for address, life in before.items():
       if after.get(address) != life:
-        await self.links.close_address(address)
+        await self.connection_pool.close_address(address)
 
   def _lives_by_address(self) -> dict[str, str]:
     return {row.url: row.life for row in self.directory.endpoints.rows.values()}
 
   @property
   def ready(self) -> bool:
-    """Whether the balancer should send callers here."""
+    """Whether the load balancer should send callers to this router."""
     return self.directory.configuration is not None and not self.stopping
 
   async def run(
@@ -225,13 +237,14 @@
       stop: anyio.Event,
       stop_s: float,
   ) -> None:
-    """Serves until `stop` is set and all is handed back.
+    """Serves until `stop` is set and the budgets are returned.
 
     Args:
-      adapter_loops: the adapter's followers, run supervised.
-      ready: where the balancer asks.
+      adapter_loops: the adapter's loops that follow the deployment's state; run
+        under supervision.
+      ready: address and port of the load balancer's readiness checks.
       stop: set at SIGTERM.
-      stop_s: seconds from `stop` to the end, at most.
+      stop_s: most seconds from `stop` until this method returns.
     """
     async with anyio.create_task_group() as tasks:
       forwarder = forwarder_lib.Forwarder(
@@ -240,23 +253,25 @@
           self._dialect,
           self.directory,
           self.accounts,
-          self.links,
+          self.connection_pool,
           tasks,
           self.instruments,
-          self._placer,
-          guard_lib.Guard(self.quarantine, self.verdicts, self.links),
+          self._endpoint_selector,
+          crash_guard_lib.CrashGuard(
+              self.quarantine, self.verdicts, self.connection_pool
+          ),
       )
-      self.front = front.Front(
+      self.http_server = http_server.HttpServer(
           self._dialect,
           forwarder.handle,
           lambda: self.directory.limits,
           self.clock,
-          room=self._room,
+          resource_limiter=self._resource_limiter,
       )
-      # Before the followers: once the configuration is known the balancer
-      # is told to send callers, who must find the port open.
+      # The callers' port is opened before the loops start: the router reports
+      # readiness as soon as the loops have read the configuration.
       listen = self.config.listen
-      await tasks.start(self.front.serve, listen.host, listen.port)
+      await tasks.start(self.http_server.serve, listen.host, listen.port)
       for loop in (
           *adapter_loops,
           *self.accounts.loops(),
@@ -264,7 +279,7 @@
           self.load_share.run,
           self.verdicts.run,
           self.overhead.run,
-          self._run_systems,
+          self._run_periodic_tasks,
       ):
         tasks.start_soon(
             accounts_lib.supervise,
@@ -277,44 +292,50 @@
       self._serve_internal(tasks, ready)
       logger.info("started", extra={"listen": listen.port})
       await stop.wait()
-      await self._stop(self.front, stop_s)
+      await self._stop(self.http_server, stop_s)
       tasks.cancel_scope.cancel()
 
   def _serve_internal(
       self, tasks: abc.TaskGroup, ready: settings.Listen
   ) -> None:
-    """Serves other routers, the balancer's question and the metrics."""
+    """Serves other routers, the load balancer's checks and the metrics."""
     peer = self.config.peer_listen
-    handler = internal.Handler(
+    peer_handler = internal.PeerHandler(
         self.accounts,
         {
             relay_lib.PATH: self.relay.serve,
             clockcheck.PATH: self.accounts.clock_check.serve,
         },
     )
-    ready_handler = internal.ReadyHandler(lambda: self.ready)
-    pages = [
-        _Page("routers", handler.handle, peer.host, peer.port),
-        _Page("readiness", ready_handler.handle, ready.host, ready.port),
+    readiness_handler = internal.ReadyHandler(lambda: self.ready)
+    services = [
+        _InternalService("routers", peer_handler.handle, peer.host, peer.port),
+        _InternalService(
+            "readiness", readiness_handler.handle, ready.host, ready.port
+        ),
     ]
     if self.config.proxy.metrics_port:
-      text = internal.TextHandler(self.instruments.render)
+      metrics_handler = internal.TextHandler(self.instruments.render)
       metrics_port = self.config.proxy.metrics_port
-      pages.append(_Page("metrics", text.handle, peer.host, metrics_port))
-    room = room_lib.for_routers()
-    for page in pages:
-      served = front.Front(
+      services.append(
+          _InternalService(
+              "metrics", metrics_handler.handle, peer.host, metrics_port
+          )
+      )
+    resource_limiter = resource_limiter_lib.new_internal_limiter()
+    for service in services:
+      server = http_server.HttpServer(
           internal.Dialect(),
-          page.handle,
+          service.handle,
           lambda: configuration.DEFAULT_LIMITS,
           self.clock,
-          page.name,
-          room,
+          service.name,
+          resource_limiter,
       )
-      tasks.start_soon(served.serve, page.host, page.port)
+      tasks.start_soon(server.serve, service.host, service.port)
 
-  async def _run_systems(self) -> None:
-    """Runs the systems over the tables each tick."""
+  async def _run_periodic_tasks(self) -> None:
+    """Updates and expires the state of the components each tick."""
     last = self.clock.monotonic()
     while True:
       await anyio.sleep(self.config.tick_s)
@@ -323,29 +344,29 @@
       self.directory.endpoints.tick(now)
       self.loads.add_up(now)
       self.trackers.forget()
-      await self.links.close_idle()
+      await self.connection_pool.close_expired()
       last = now
 
-  async def _stop(self, served: front.Front, stop_s: float) -> None:
-    """Finishes what is in flight and hands the budgets back."""
-    ends = self.clock.monotonic() + stop_s
+  async def _stop(self, server: http_server.HttpServer, stop_s: float) -> None:
+    """Finishes the requests in flight and returns the budgets."""
+    stops_at = self.clock.monotonic() + stop_s
     self.stopping = True
-    logger.info("stopping", extra={"in_flight": served.in_flight})
-    await anyio.sleep(min(_RELEASE_S, stop_s / 2))
-    served.stop_idle()
-    hand_back_s = stop_s * _HAND_BACK_SHARE
-    left_s = ends - self.clock.monotonic() - hand_back_s
-    finished = await served.finish(max(0.0, left_s))
-    with anyio.move_on_after(max(0.1, ends - self.clock.monotonic())):
+    logger.info("stopping", extra={"in_flight": server.in_flight})
+    await anyio.sleep(min(_DRAIN_DELAY_S, stop_s / 2))
+    server.start_draining()
+    budget_return_s = stop_s * _BUDGET_RETURN_SHARE
+    remaining_s = stops_at - self.clock.monotonic() - budget_return_s
+    drained = await server.wait_until_drained(max(0.0, remaining_s))
+    with anyio.move_on_after(max(0.1, stops_at - self.clock.monotonic())):
       try:
         await self.accounts.hand_back()
-      except Exception:  # noqa: BLE001  the next life gives it back
-        logger.exception("budgets not handed back")
-      await self.accounts.writer.flush(hand_back_s)
+      except Exception:  # noqa: BLE001  the restarted process does it
+        logger.exception("budgets not returned to the store")
+      await self.accounts.writer.flush(budget_return_s)
     logger.info(
         "stopped",
         extra={
-            "finished": finished,
+            "finished": drained,
             "unwritten": self.accounts.writer.backlog,
         },
     )
--- a/mustardfall/proxy/__init__.py
+++ b/mustardfall/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The data path: callers' HTTP in front, endpoints' HTTP behind."""
+"""The data path: HTTP server for callers, and forwarding to endpoints."""
--- /dev/null
+++ b/mustardfall/proxy/endpoint_selector.py
@@ -0,0 +1,139 @@
+"""Chooses a request's endpoint and reports its load to other routers."""
+
+import random
+
+from mustardfall import settings
+from mustardfall.membership import loadshare as loadshare_lib
+from mustardfall.membership import trackers as trackers_lib
+from mustardfall.proxy import request_context as request_context_lib
+from mustardfall.routing import directory as directory_lib
+from mustardfall.routing import endpoints
+from mustardfall.routing import placement
+
+
+class EndpointAttempt:
+  """One attempt at an endpoint: accounts for its load from start to end.
+
+  Args:
+    context: the request.
+    place: the chosen endpoint and the expected times.
+    directory: learns the endpoint's speed.
+    load_share: reports load to all routers of a small fleet.
+    trackers: reports load to the endpoint's trackers in a large fleet.
+  """
+
+  def __init__(
+      self,
+      context: request_context_lib.RequestContext,
+      place: placement.Place,
+      directory: directory_lib.Directory,
+      load_share: loadshare_lib.LoadShare,
+      trackers: trackers_lib.Trackers,
+  ) -> None:
+    self._is_generation = bool(context.request.parts)
+    self._place = place
+    self._directory = directory
+    self._load_share = load_share
+    self._trackers = trackers
+    self._pending_prefill = request_context_lib.PendingPrefill(
+        place.row, place.reading_s
+    )
+    place.row.in_flight += 1
+    prefix = request_context_lib.prompt_for_placement(context.request).prefix
+    load_share.note_sent(place.row.life, prefix)
+    self._tracked_send: trackers_lib.Sent | None = None
+    if trackers.is_used:
+      self._tracked_send = trackers.note_sent(
+          place.row.life, prefix, place.reading_s
+      )
+
+  def record_response_time(self, took_s: float) -> None:
+    """Records how long the response took to begin, or was waited for."""
+    if not self._is_generation:
+      return
+    place = self._place
+    self._directory.endpoints.learn(place.row, place.answer_s, took_s)
+    if self._tracked_send is not None:
+      self._trackers.note_first(self._tracked_send, place.answer_s, took_s)
+
+  def end_prefill(self) -> None:
+    """Records that the endpoint has processed the prompt."""
+    self._pending_prefill.end()
+    self._load_share.note()
+
+  def end(self, failed: bool) -> None:
+    """Records that the endpoint no longer works on the request."""
+    self._place.row.in_flight -= 1
+    self.end_prefill()
+    if self._tracked_send is not None:
+      self._trackers.note_end(self._tracked_send, failed)
+
+
+class EndpointSelector:
+  """Chooses the endpoint of each attempt by expected response time.
+
+  Args:
+    config: all of the router's settings.
+    directory: provides the endpoints.
+    load_share: reports load to all routers of a small fleet.
+    trackers: query and report load in a large fleet, where two routers track
+      each endpoint.
+  """
+
+  def __init__(
+      self,
+      config: settings.Router,
+      directory: directory_lib.Directory,
+      load_share: loadshare_lib.LoadShare,
+      trackers: trackers_lib.Trackers,
+  ) -> None:
+    self._datacentre = config.datacentre
+    self._directory = directory
+    self._load_share = load_share
+    self._trackers = trackers
+    self._random = random.Random()
+
+  async def select(
+      self, context: request_context_lib.RequestContext
+  ) -> placement.Place | None:
+    """Returns the endpoint expected to respond first; None if there is none.
+
+    Endpoints that the request was not sent to yet are preferred.
+    """
+    rows = self._directory.endpoints.fitting(context.service.name, "")
+    untried = [row for row in rows if row.name not in context.tried_endpoints]
+    prompt = request_context_lib.prompt_for_placement(context.request)
+    if not self._trackers.is_used:
+      return placement.choose(untried or rows, prompt, self._datacentre)
+    return await self._select_tracked(untried or rows, prompt)
+
+  async def _select_tracked(
+      self, rows: list[endpoints.Row], prompt: placement.Prompt
+  ) -> placement.Place | None:
+    """Queries the load of a few endpoints, and of more while those are busy."""
+    place, asked, standings = None, [], {}
+    rounds = placement.candidates(rows, prompt, self._datacentre, self._random)
+    for found in rounds:
+      asked += found
+      lives = [one.row.life for one in found]
+      if len(rows) > 1:
+        standings |= await self._trackers.survey(lives, prompt.prefix)
+      place = placement.choose_tracked(
+          asked, standings, prompt, self._datacentre
+      )
+      if place is None or not placement.is_busy(place, prompt):
+        break
+    return place
+
+  def record_unreachable(self, row: endpoints.Row) -> None:
+    """Reports that an endpoint accepted no connection."""
+    if self._trackers.is_used:
+      self._trackers.note_end(trackers_lib.Sent(row.life, ""), failed=True)
+
+  def start_attempt(
+      self, context: request_context_lib.RequestContext, place: placement.Place
+  ) -> EndpointAttempt:
+    """Counts a request as sent; the caller ends the returned attempt."""
+    return EndpointAttempt(
+        context, place, self._directory, self._load_share, self._trackers
+    )
--- a/mustardfall/proxy/exchange.py
+++ b/mustardfall/proxy/exchange.py
@@ -1,7 +1,7 @@
-"""One request on one connection, and the answer that belongs to it.
+"""An HTTP exchange: one request on one connection, and its response.
 
-The connection is released for reuse only after an answer that ended
-cleanly; after any doubt it is closed.
+The connection is released for reuse only after a response that was read to its
+end; in all other cases it is closed.
 """
 
 from collections.abc import AsyncIterator, Callable
@@ -11,16 +11,16 @@
 import h11
 
 from mustardfall import errors
-from mustardfall.proxy import links as links_lib
+from mustardfall.proxy import connection_pool as connection_pool_lib
 from mustardfall.proxy import messages
 
 _READ_BYTES = 65_536
-_MOST_HEAD_BYTES = 65_536
-_MOST_STRANGERS = 4
-"""Answers of other requests passed over on one connection; more are no
-late answers but a server out of step."""
+_MAX_HEAD_BYTES = 65_536
+_MAX_FOREIGN_RESPONSES = 4
+"""Responses to other requests that are skipped on one connection. More of them
+are not late responses: the server's responses no longer match its requests."""
 
-_BROKEN = (
+_CONNECTION_ERRORS = (
     anyio.BrokenResourceError,
     anyio.ClosedResourceError,
     OSError,
@@ -28,39 +28,39 @@
 )
 
 
-class Room(Protocol):
-  """Where an answer is held until it is whole."""
+class MemoryLimiter(Protocol):
+  """Limits the memory of buffered response bodies."""
 
   def hold(self, size: int) -> bool:
-    """Holds `size` more bytes; returns False if there is no room now."""
+    """Allocates `size` more bytes; returns False if they are not free now."""
 
   async def hold_whole(self, size: int) -> bool:
-    """Holds `size` bytes once there is room; False: there never will be."""
+    """Allocates `size` bytes once they are free; returns False if never."""
 
 
 class Exchange:
-  """Sends a request on a connection and reads the answer.
+  """Sends a request on a connection and reads the response.
 
   Args:
-    links: where the connection goes back to.
-    link: the connection; owned until `close`.
+    connection_pool: the pool to which the connection is returned.
+    connection: the connection; owned by the exchange until `close`.
     method: e.g. `b"POST"`.
     target: path and query.
-    headers: all headers but the body's length.
-    body: the whole body.
+    headers: all headers except Content-Length.
+    body: the complete body.
   """
 
   def __init__(
       self,
-      links: links_lib.Links,
-      link: links_lib.Link,
+      connection_pool: connection_pool_lib.ConnectionPool,
+      connection: connection_pool_lib.Connection,
       method: bytes,
       target: bytes,
       headers: list[messages.Header],
       body: bytes,
   ) -> None:
-    self._links = links
-    self._link = link
+    self._connection_pool = connection_pool
+    self._connection = connection
     self._body = body
     length = [(b"content-length", b"%d" % len(body))]
     bodiless = not body and method in (b"GET", b"HEAD", b"DELETE")
@@ -71,19 +71,19 @@
     )
     self._parser = self._new_parser()
     self._sent = False
-    self._clean = False
-    """Whether the answer has been read to its very end."""
-    self._idle_s: float | None = None
-    self._last_use = False
-    self._length = 0
-    """Bytes of the answer's body, if it says so."""
+    self._is_complete = False
+    """Whether the response has been read to its end."""
+    self._idle_timeout_s: float | None = None
+    self._closes_connection = False
+    self._content_length = 0
+    """Content-Length of the response; 0 if there is none."""
     self.received = False
-    """Whether any byte came back."""
+    """Whether any byte was received."""
 
   def _new_parser(self) -> h11.Connection:
-    """Returns a parser that expects the answer to this request."""
+    """Returns a parser that expects the response to this request."""
     parser = h11.Connection(
-        h11.CLIENT, max_incomplete_event_size=_MOST_HEAD_BYTES
+        h11.CLIENT, max_incomplete_event_size=_MAX_HEAD_BYTES
     )
     parser.send(self._request)
     if self._body:
@@ -100,18 +100,18 @@
 
   async def start(
       self,
-      decode: Callable[[int, list[messages.Header]], messages.Answer],
+      decode: Callable[[int, list[messages.Header]], messages.ResponseHead],
       request_id: str,
-  ) -> messages.Answer:
-    """Sends the request and returns the head of its answer.
+  ) -> messages.ResponseHead:
+    """Sends the request and returns the head of its response.
 
-    Answers that bear another request's id came late, where this one's
-    was expected: they are passed over.
+    A response that bears another request's id is a late response to an
+    earlier request on this connection; it is skipped.
 
     Raises:
-      errors.BrokenAnswerError: no answer; the request may have run.
+      errors.BrokenAnswerError: there is no response; the request may have run.
     """
-    result: list[messages.Answer | errors.BrokenAnswerError] = []
+    result: list[messages.ResponseHead | errors.BrokenAnswerError] = []
 
     async def _read() -> None:
       try:
@@ -119,53 +119,55 @@
       except errors.BrokenAnswerError as exc:
         result.append(exc)
 
-    # Read while sending: a server may answer, or refuse, a long request
-    # before it has taken all of it, and would otherwise never be heard.
+    # Read while sending: a server may respond to a long request, or refuse it,
+    # before it has read all of it. Its response would otherwise be missed.
     async with anyio.create_task_group() as tg:
       tg.start_soon(self._send)
       await _read()
       tg.cancel_scope.cancel()
-    found = result[0]
-    if isinstance(found, errors.BrokenAnswerError):
-      raise found
-    self._idle_s = found.idle_s
-    self._last_use = found.last_use
-    return found
+    head_or_error = result[0]
+    if isinstance(head_or_error, errors.BrokenAnswerError):
+      raise head_or_error
+    self._idle_timeout_s = head_or_error.idle_timeout_s
+    self._closes_connection = head_or_error.closes_connection
+    return head_or_error
 
   async def _send(self) -> None:
     try:
-      await self._link.stream.send(self._encode())
+      await self._connection.stream.send(self._encode())
       self._sent = True
     except (anyio.BrokenResourceError, anyio.ClosedResourceError, OSError):
-      # The server may have answered before it closed; the reader tells.
+      # The server may have responded before it closed; `_read_head` finds out.
       return
 
   async def _read_head(
       self,
-      decode: Callable[[int, list[messages.Header]], messages.Answer],
+      decode: Callable[[int, list[messages.Header]], messages.ResponseHead],
       request_id: str,
-  ) -> messages.Answer:
-    rest, self._link.rest = self._link.rest, b""
+  ) -> messages.ResponseHead:
+    rest, self._connection.rest = self._connection.rest, b""
     if rest:
       self._parser.receive_data(rest)
-    for _ in range(_MOST_STRANGERS):
+    for _ in range(_MAX_FOREIGN_RESPONSES):
       event = await self._next_event()
       while isinstance(event, h11.InformationalResponse):
         event = await self._next_event()
       if not isinstance(event, h11.Response):
-        raise errors.BrokenAnswerError("no answer before the end")
-      answer = decode(event.status_code, list(event.headers))
-      if answer.request_id in (request_id, ""):
-        self._length = messages.length_of(event.headers)
-        return answer
-      await self._pass_over(event)
-    raise errors.BrokenAnswerError("answers of other requests only")
-
-  async def _pass_over(self, head: h11.Response) -> None:
-    """Reads another request's answer to its end."""
+        raise errors.BrokenAnswerError("connection ended before a response")
+      head = decode(event.status_code, list(event.headers))
+      if head.request_id in (request_id, ""):
+        self._content_length = messages.content_length(event.headers)
+        return head
+      await self._skip_response(event)
+    raise errors.BrokenAnswerError("responses to other requests only")
+
+  async def _skip_response(self, head: h11.Response) -> None:
+    """Reads the response to another request to its end."""
     names = {name for name, _ in head.headers}
     if not names & {b"content-length", b"transfer-encoding"}:
-      raise errors.BrokenAnswerError("another request's answer, no length")
+      raise errors.BrokenAnswerError(
+          "response to another request, without length"
+      )
     while not isinstance(await self._next_event(), h11.EndOfMessage):
       pass
     rest, ended = self._parser.trailing_data
@@ -184,63 +186,71 @@
         if event is not h11.NEED_DATA:
           return event
         try:
-          data = await self._link.stream.receive(_READ_BYTES)
+          data = await self._connection.stream.receive(_READ_BYTES)
         except anyio.EndOfStream:
           data = b""
         self.received = self.received or bool(data)
         self._parser.receive_data(data)
-    except _BROKEN as exc:
+    except _CONNECTION_ERRORS as exc:
       raise errors.BrokenAnswerError(repr(exc)) from exc
 
   async def body(self) -> AsyncIterator[bytes]:
-    """Yields the answer's body; ends only where the body is whole.
+    """Yields the response body; returns only after the complete body.
 
     Raises:
-      errors.BrokenAnswerError: it ended before its end.
+      errors.BrokenAnswerError: the body was cut off.
     """
     while True:
       event = await self._next_event()
       if isinstance(event, h11.Data):
         yield bytes(event.data)
       elif isinstance(event, h11.EndOfMessage):
-        self._clean = True
+        self._is_complete = True
         return
 
-  async def read_body(self, most: int, room: Room | None = None) -> bytes:
-    """Returns the whole body.
+  async def read_body(
+      self, max_bytes: int, memory: MemoryLimiter | None = None
+  ) -> bytes:
+    """Returns the complete response body.
 
     Args:
-      most: bytes that it may have.
-      room: where it is held; None: it is not counted.
+      max_bytes: the largest size allowed.
+      memory: limits the memory of the body; None for no limit.
 
     Raises:
-      errors.BrokenAnswerError: it ended early, is longer than `most`, or
-        there is no room for it.
+      errors.BrokenAnswerError: the body was cut off, is longer than
+        `max_bytes`, or does not fit into `memory`.
     """
     out = bytearray()
-    length = min(self._length, most)
-    if room is not None and length and not await room.hold_whole(length):
-      raise errors.BrokenAnswerError(f"no room for {length} bytes")
+    length = min(self._content_length, max_bytes)
+    if memory is not None and length and not await memory.hold_whole(length):
+      raise errors.BrokenAnswerError(
+          f"no memory for a response body of {length} bytes"
+      )
     async for data in self.body():
       out += data
-      if len(out) > most:
-        raise errors.BrokenAnswerError(f"body over {most} bytes")
-      if room is not None and not length and not room.hold(len(data)):
-        raise errors.BrokenAnswerError(f"no room after {len(out)} bytes")
+      if len(out) > max_bytes:
+        raise errors.BrokenAnswerError(f"response body over {max_bytes} bytes")
+      if memory is not None and not length and not memory.hold(len(data)):
+        raise errors.BrokenAnswerError(
+            f"no memory for the response body after {len(out)} bytes"
+        )
     return bytes(out)
 
   async def close(self) -> None:
-    """Gives the connection back, or closes it after any doubt."""
+    """Returns the connection to the pool if it is reusable, or closes it."""
     with anyio.CancelScope(shield=True):
       if self._may_reuse():
-        await self._links.release(self._link, self._idle_s)
+        await self._connection_pool.release(
+            self._connection, self._idle_timeout_s
+        )
       else:
-        await self._links.discard(self._link)
+        await self._connection_pool.discard(self._connection)
 
   def _may_reuse(self) -> bool:
-    if not self._clean or not self._sent or self._last_use:
+    if not self._is_complete or not self._sent or self._closes_connection:
       return False
     if self._parser.their_state is not h11.DONE:
-      return False  # ended with the connection
+      return False  # the body ended with the connection
     rest, ended = self._parser.trailing_data
     return not rest and not ended
--- /dev/null
+++ b/mustardfall/proxy/http_server.py
@@ -0,0 +1,531 @@
+"""The HTTP/1.1 server: serves one request at a time on each connection.
+
+It rejects invalid and ambiguous requests, reads request bodies completely,
+cancels the handler when the caller disconnects, and cuts off the connection
+under a failed response, so that the response never looks complete.
+"""
+
+from collections.abc import Awaitable, Callable, Iterator
+import contextlib
+import logging
+import re
+
+import anyio
+from anyio import abc
+import h11
+
+from mustardfall import errors
+from mustardfall import settings
+from mustardfall.proxy import messages
+from mustardfall.proxy import resource_limiter as resource_limiter_lib
+from mustardfall.routing import configuration
+from mustardfall.util import clock as clock_lib
+from mustardfall.util import sockets
+
+logger = logging.getLogger(__name__)
+
+_READ_BYTES = 65_536
+_MAX_PIPELINED_BYTES = 65_536
+"""Bytes of pipelined requests that are read while a request is served. The
+server reads on only to detect a disconnect; beyond this it stops reading, which
+bounds the memory."""
+_LINGER_S = 0.5
+"""How long bytes are still read after the last response. Closing a connection
+with unread bytes resets it, and the caller may lose a response that it has not
+read yet."""
+_RETRY_AFTER_S = 1.0
+"""Retry-After of callers refused for lack of connections or memory, in seconds.
+Mostly the load balancer sends the retry to another router."""
+_ACCEPT_RETRY_S = 0.1
+"""Pause after accepting a connection failed. Without free descriptors the call
+fails immediately each time, until some are free."""
+_FOLDED_LINE = re.compile(rb"\n[ \t]")
+_CONTENT_LENGTH = re.compile(rb"\ncontent-length[ \t]*:", re.IGNORECASE)
+_TRANSFER_ENCODING = re.compile(rb"\ntransfer-encoding[ \t]*:", re.IGNORECASE)
+_DISCONNECT_ERRORS = (
+    anyio.BrokenResourceError,
+    anyio.ClosedResourceError,
+    OSError,
+)
+
+
+class Responder:
+  """Writes the response to one request.
+
+  A response that was started and not ended is cut off by closing the
+  connection, so that it never looks complete.
+  """
+
+  def __init__(self, connection: "_CallerConnection") -> None:
+    self._connection = connection
+    self.started = False
+    self.ended = False
+
+  def hold(self, size: int) -> bool:
+    """Allocates `size` bytes for a response; returns whether they fit."""
+    return self._connection.allocate_response(size)
+
+  async def hold_whole(self, size: int) -> bool:
+    """Allocates a complete response of `size` bytes, waiting until it fits.
+
+    Returns:
+      False if it can never fit.
+    """
+    return await self._connection.wait_and_allocate_response(size)
+
+  async def respond(
+      self, status: int, headers: list[messages.Header], body: bytes = b""
+  ) -> None:
+    """Sends a complete response."""
+    self.started = True
+    length = (b"content-length", b"%d" % len(body))
+    head = h11.Response(
+        status_code=status,
+        headers=[*headers, length, *self._connection_headers()],
+    )
+    await self._connection.send(head, h11.Data(data=body), h11.EndOfMessage())
+    self.ended = True
+
+  async def start(self, status: int, headers: list[messages.Header]) -> None:
+    """Sends the head of a response whose body follows in chunks."""
+    self.started = True
+    chunked = (b"transfer-encoding", b"chunked")
+    await self._connection.send(
+        h11.Response(
+            status_code=status,
+            headers=[*headers, chunked, *self._connection_headers()],
+        )
+    )
+
+  async def write(self, data: bytes) -> None:
+    """Sends a piece of the body."""
+    await self._connection.send(h11.Data(data=data))
+
+  async def end(self) -> None:
+    """Sends the end of the body."""
+    await self._connection.send(h11.EndOfMessage())
+    self.ended = True
+
+  def _connection_headers(self) -> list[messages.Header]:
+    return (
+        [(b"connection", b"close")]
+        if self._connection.closes_after_response
+        else []
+    )
+
+
+Handler = Callable[[messages.Request, bytes, Responder], Awaitable[None]]
+
+
+class HttpServer:
+  """Accepts connections and calls the handler for each request on them.
+
+  Args:
+    dialect: decodes and encodes the deployment's headers.
+    handler: serves one request; cancelled when the caller disconnects.
+    limits: returns the current limits on requests.
+    clock: the time source.
+    name: whom the server serves, for the log.
+    resource_limiter: limits connections and memory; by default, only the
+      process's descriptors limit the connections.
+  """
+
+  def __init__(
+      self,
+      dialect: messages.Dialect,
+      handler: Handler,
+      limits: Callable[[], configuration.Limits],
+      clock: clock_lib.Clock,
+      name: str = "callers",
+      resource_limiter: resource_limiter_lib.ResourceLimiter | None = None,
+  ) -> None:
+    self._name = name
+    self.resource_limiter = (
+        resource_limiter
+        or resource_limiter_lib.new_caller_limiter(settings.Limits())
+    )
+    self.dialect = dialect
+    self.handler = handler
+    self.limits = limits
+    self.clock = clock
+    self.draining = False
+    self.in_flight = 0
+    self._idle: dict[anyio.CancelScope, resource_limiter_lib.Allocation] = {}
+    """Connections that wait for a request, longest waiting first: the cancel
+    scope of each wait and the connection's allocation."""
+
+  async def serve(
+      self,
+      host: str,
+      port: int,
+      *,
+      task_status: abc.TaskStatus[None] = anyio.TASK_STATUS_IGNORED,
+  ) -> None:
+    """Serves until cancelled; reports as started once the port is open."""
+    listeners = await sockets.listen(self._name, host, port)
+    task_status.started()
+    async with anyio.create_task_group() as tasks:
+      for listener in listeners:
+        tasks.start_soon(self._accept, listener, tasks)
+
+  async def _accept(
+      self, listener: abc.SocketListener, tasks: abc.TaskGroup
+  ) -> None:
+    """Accepts connections until cancelled, also after a failed accept."""
+    async with listener:
+      while True:
+        try:
+          stream = await listener.accept()
+        except OSError as exc:
+          logger.warning(
+              "connection not accepted",
+              extra={"serves": self._name, "error": str(exc)},
+          )
+          await anyio.sleep(_ACCEPT_RETRY_S)
+          continue
+        tasks.start_soon(self._serve_connection, stream)
+
+  async def _serve_connection(self, stream: abc.SocketStream) -> None:
+    allocation = self.resource_limiter.new_allocation()
+    allocation.add_connection()
+    try:
+      connection = _CallerConnection(self, stream, allocation)
+      if self._admit_connection():
+        await connection.run()
+      elif not self.resource_limiter.is_refusal_limit_reached:
+        await connection.refuse_connection()
+    except* _DISCONNECT_ERRORS:
+      pass  # the caller has disconnected, and its request was cancelled
+    except* Exception:  # noqa: BLE001  a fault must not end other connections
+      logger.exception("connection failed")
+    finally:
+      allocation.close()
+      with anyio.CancelScope(shield=True):
+        await anyio.aclose_forcefully(stream)
+
+  def _admit_connection(self) -> bool:
+    while self.resource_limiter.is_exhausted:
+      if not self._close_longest_idle():
+        return False
+    return True
+
+  def allocate(
+      self,
+      allocation: resource_limiter_lib.Allocation,
+      size: int,
+      share: float = 1.0,
+  ) -> bool:
+    """Allocates `size` more bytes, closing idle connections as needed.
+
+    Returns:
+      False if they do not fit although no connection is idle.
+    """
+    while not allocation.allocate(size, share):
+      if not self._close_longest_idle():
+        return False
+    return True
+
+  def _close_longest_idle(self) -> bool:
+    """Closes the connection idle for longest; returns False if none is idle."""
+    for scope, allocation in self._idle.items():
+      del self._idle[scope]
+      allocation.evict()
+      scope.cancel()
+      return True
+    return False
+
+  @contextlib.contextmanager
+  def wait_for_request(
+      self, timeout_s: float, allocation: resource_limiter_lib.Allocation
+  ) -> Iterator[None]:
+    """Limits the wait for a request; the connection may be closed meanwhile."""
+    with anyio.move_on_after(timeout_s) as scope:
+      self._idle[scope] = allocation
+      try:
+        yield
+      finally:
+        self._idle.pop(scope, None)
+
+  def start_draining(self) -> None:
+    """Closes idle connections; the others are closed after their request."""
+    self.draining = True
+    for scope in list(self._idle):
+      scope.cancel()
+
+  async def wait_until_drained(self, timeout_s: float) -> bool:
+    """Waits for requests in flight; returns whether all of them ended."""
+    with anyio.move_on_after(timeout_s):
+      while self.in_flight:
+        await anyio.sleep(0.02)
+    return not self.in_flight
+
+
+class _CallerConnection:
+  """One caller's connection."""
+
+  def __init__(
+      self,
+      server: HttpServer,
+      stream: abc.SocketStream,
+      allocation: resource_limiter_lib.Allocation,
+  ) -> None:
+    self._server = server
+    self._stream = stream
+    self._connection_allocation = allocation
+    self._request_allocation = server.resource_limiter.new_allocation()
+    """Memory of the request that is being read or served."""
+    self._parser = self._new_parser()
+    self._head_bytes = bytearray()
+    """The request head being read, as received."""
+    self._caller_closed = False
+    self.closes_after_response = False
+    """Whether the connection is closed after the current response."""
+
+  def _new_parser(self) -> h11.Connection:
+    return h11.Connection(
+        h11.SERVER,
+        max_incomplete_event_size=self._server.limits().header_bytes,
+    )
+
+  async def run(self) -> None:
+    """Serves requests until the connection ends."""
+    while await self._serve_one():
+      rest, _ = self._parser.trailing_data
+      # Each request gets a new parser, as the limits may have changed.
+      self._parser = self._new_parser()
+      self._head_bytes = bytearray(rest)
+      if rest:
+        self._parser.receive_data(rest)
+    if not self._connection_allocation.evicted:
+      await self._close_lingering()
+
+  async def _serve_one(self) -> bool:
+    """Serves one request, or refuses it; returns whether another may follow."""
+    responder = Responder(self)
+    try:
+      return await self._serve_next(responder)
+    except errors.BadRequestError as exc:
+      await self._refuse(responder, exc)
+      return False
+    finally:
+      self._request_allocation.close()
+
+  async def _serve_next(self, responder: Responder) -> bool:
+    head = await self._read_head()
+    if head is None:
+      return False
+    self._allocate(resource_limiter_lib.REQUEST_OVERHEAD_BYTES)
+    request = self._decode(head)
+    body = await self._read_body(head)
+    self.closes_after_response = self._server.draining or _requests_close(head)
+    self._server.in_flight += 1
+    try:
+      await self._handle(request, body, responder)
+    finally:
+      self._server.in_flight -= 1
+    return (
+        responder.ended
+        and not self.closes_after_response
+        and not self._caller_closed
+    )
+
+  async def _refuse(
+      self, responder: Responder, exc: errors.BadRequestError
+  ) -> None:
+    self.closes_after_response = True
+    logger.info(
+        "request not read",
+        extra={"status": exc.status, "reason": str(exc)}
+        | self._server.resource_limiter.log_fields,
+    )
+    headers = self._server.dialect.encode_refusal("", exc.retry_after_s)
+    if self._parser.our_state in (h11.IDLE, h11.SEND_RESPONSE):
+      await responder.respond(exc.status, headers, str(exc).encode())
+
+  async def _read_head(self) -> h11.Request | None:
+    """Returns the head of the next request; None if the connection ends."""
+    limits = self._server.limits()
+    if not self._head_bytes and not await self._wait_for_bytes(
+        limits.idle_timeout.total_seconds()
+    ):
+      return None
+    with anyio.move_on_after(limits.header_timeout.total_seconds()):
+      event = await self._next_event()
+      if isinstance(event, h11.ConnectionClosed):
+        return None
+      self._check_head()
+      return event
+    raise errors.BadRequestError("head took too long", 408)
+
+  async def _wait_for_bytes(self, timeout_s: float) -> bool:
+    """Waits for the first bytes of a request; returns whether any arrived."""
+    if self._server.draining:
+      return False
+    with self._server.wait_for_request(timeout_s, self._connection_allocation):
+      await self._receive()
+    return bool(self._head_bytes)
+
+  async def _receive(self) -> None:
+    """Reads once from the connection."""
+    try:
+      data = await self._stream.receive(_READ_BYTES)
+    except anyio.EndOfStream:
+      data = b""
+      self._caller_closed = True
+    if self._parser.their_state is h11.IDLE:
+      self._allocate(2 * len(data))
+      self._head_bytes += data
+    self._parser.receive_data(data)
+
+  async def _next_event(self) -> h11.Event:
+    try:
+      while (event := self._parser.next_event()) is h11.NEED_DATA:
+        if self._parser.they_are_waiting_for_100_continue:
+          await self.send(
+              h11.InformationalResponse(status_code=100, headers=[])
+          )
+        await self._receive()
+    except h11.RemoteProtocolError as exc:
+      raise errors.BadRequestError(str(exc), exc.error_status_hint) from exc
+    return event
+
+  def _check_head(self) -> None:
+    """Refuses heads that allow request smuggling.
+
+    An endpoint that finds the end of the body elsewhere than this router would
+    run a request hidden in the body. The parser accepts folded lines and
+    repeated Content-Length headers, so the raw bytes are searched for them.
+    """
+    end = self._head_bytes.find(b"\r\n\r\n")
+    head = bytes(self._head_bytes if end < 0 else self._head_bytes[: end + 2])
+    if len(head) > self._server.limits().header_bytes:
+      raise errors.BadRequestError("head too large", 431)
+    if _FOLDED_LINE.search(head):
+      raise errors.BadRequestError("folded header")
+    lengths = len(_CONTENT_LENGTH.findall(head))
+    if lengths > 1 or (lengths and _TRANSFER_ENCODING.search(head)):
+      raise errors.BadRequestError("ambiguous body length")
+
+  def _decode(self, head: h11.Request) -> messages.Request:
+    return self._server.dialect.decode_request(
+        head.method, head.target, list(head.headers)
+    )
+
+  def _allocate(self, size: int) -> None:
+    """Allocates `size` more bytes for the request.
+
+    Raises:
+      errors.BusyError: they do not fit.
+    """
+    if not self._server.allocate(self._request_allocation, size):
+      raise errors.BusyError("no room", _RETRY_AFTER_S)
+
+  def _allocate_body(self, size: int) -> None:
+    """Allocates the copies of `size` bytes of the request's body.
+
+    Raises:
+      errors.BusyError: they do not fit into the share for bodies.
+    """
+    copies, share = (
+        resource_limiter_lib.BODY_COPIES * size,
+        resource_limiter_lib.BODIES_SHARE,
+    )
+    if size and not self._server.allocate(
+        self._request_allocation, copies, share
+    ):
+      raise errors.BusyError("no room for a body", _RETRY_AFTER_S)
+
+  def allocate_response(self, size: int) -> bool:
+    """Allocates `size` bytes for a response; returns whether they fit."""
+    return self._server.allocate(
+        self._request_allocation, resource_limiter_lib.BODY_COPIES * size
+    )
+
+  async def wait_and_allocate_response(self, size: int) -> bool:
+    """Allocates a complete response; returns False if it can never fit.
+
+    It waits until the complete response fits. Responses that were allocated
+    piece by piece could together exhaust the memory before any is complete.
+    """
+    resource_limiter = self._server.resource_limiter
+    if not resource_limiter.fits_when_empty(
+        resource_limiter_lib.BODY_COPIES * size
+    ):
+      return False
+    while not self.allocate_response(size):
+      await resource_limiter.wait()
+    return True
+
+  async def refuse_connection(self) -> None:
+    """Refuses the caller with 503 without reading its request."""
+    await self._refuse(
+        Responder(self), errors.BusyError("full", _RETRY_AFTER_S)
+    )
+    await self._close_lingering()
+
+  async def _read_body(self, head: h11.Request) -> bytes:
+    limits = self._server.limits()
+    body = bytearray()
+    announced = min(messages.content_length(head.headers), limits.body_bytes)
+    self._allocate_body(announced)
+    while True:
+      with anyio.move_on_after(limits.idle_timeout.total_seconds()) as scope:
+        event = await self._next_event()
+      if scope.cancelled_caught:
+        raise errors.BadRequestError("body took too long", 408)
+      if isinstance(event, h11.EndOfMessage):
+        return bytes(body)
+      if not isinstance(event, h11.Data):
+        raise errors.BadRequestError("body ended early")
+      body += event.data
+      if len(body) > limits.body_bytes:
+        raise errors.BadRequestError("body too large", 413)
+      if len(body) > announced:
+        self._allocate_body(len(event.data))
+
+  async def _handle(
+      self, request: messages.Request, body: bytes, responder: Responder
+  ) -> None:
+    async with anyio.create_task_group() as tg:
+      tg.start_soon(self._watch_for_disconnect, tg.cancel_scope)
+      await self._server.handler(request, body, responder)
+      tg.cancel_scope.cancel()
+
+  async def _watch_for_disconnect(self, scope: anyio.CancelScope) -> None:
+    """Cancels the request when its caller disconnects."""
+    pipelined = 0
+    try:
+      while pipelined < _MAX_PIPELINED_BYTES:
+        data = await self._stream.receive(_READ_BYTES)
+        pipelined += len(data)
+        self._parser.receive_data(data)
+        if not self._request_allocation.allocate(len(data)):
+          return
+    except (anyio.EndOfStream, *_DISCONNECT_ERRORS):
+      self._caller_closed = True
+      scope.cancel()
+
+  async def send(self, *events: h11.Event) -> None:
+    """Sends events of a response."""
+    data = b"".join(self._parser.send(event) or b"" for event in events)
+    if data:
+      await self._stream.send(data)
+
+  async def _close_lingering(self) -> None:
+    """Shuts the connection down so that the last response still arrives."""
+    if self._caller_closed:
+      return
+    with (
+        contextlib.suppress(anyio.EndOfStream, *_DISCONNECT_ERRORS),
+        anyio.move_on_after(_LINGER_S),
+    ):
+      await self._stream.send_eof()
+      while True:
+        await self._stream.receive(_READ_BYTES)
+
+
+def _requests_close(head: h11.Request) -> bool:
+  for name, value in head.headers:
+    if name == b"connection" and b"close" in value.lower():
+      return True
+  return head.http_version < b"1.1"
--- a/mustardfall/proxy/internal.py
+++ b/mustardfall/proxy/internal.py
@@ -1,7 +1,7 @@
-"""The routers' own port: other routers' calls, readiness, metrics.
+"""Handlers of internal ports: calls of other routers, readiness and metrics.
 
-Small JSON over the same HTTP front as the callers'. Its requests need no
-id, key or deadline, so it has a dialect of its own.
+They use the same HTTP server as callers. Internal requests need no id, API key
+or deadline, so they have a `Dialect` of their own.
 """
 
 from collections.abc import Awaitable, Callable
@@ -11,22 +11,22 @@
 
 from mustardfall import accounts as accounts_lib
 from mustardfall.membership import peers
-from mustardfall.proxy import front
+from mustardfall.proxy import http_server
 from mustardfall.proxy import messages
 
 logger = logging.getLogger(__name__)
 
-Endpoint = Callable[[dict[str, Any]], Awaitable[Any]]
-"""Takes a JSON body, returns the JSON answer."""
+CallHandler = Callable[[dict[str, Any]], Awaitable[Any]]
+"""Takes the JSON body of a call and returns the JSON response."""
 
 
 class Dialect:
-  """Plain HTTP without headers of meaning."""
+  """Translates plain HTTP, in which no header has a meaning."""
 
   def decode_request(
       self, method: bytes, target: bytes, headers: list[messages.Header]
   ) -> messages.Request:
-    """Returns the request; only its path and headers matter."""
+    """Returns the request with its method, target, path and headers."""
     return messages.Request(
         id="",
         method=method,
@@ -34,7 +34,7 @@
         authority="",
         path=target.decode("latin-1").partition("?")[0],
         api_key="",
-        patience_s=None,
+        caller_timeout_s=None,
         usage=None,
         parts=(),
         last_event=None,
@@ -49,19 +49,19 @@
     return []
 
 
-class Handler:
-  """Serves other routers' calls.
+class PeerHandler:
+  """Serves the calls of other routers.
 
   Args:
-    accounts: the budgets.
-    extra: further paths.
+    accounts: provides the budgets.
+    extra: handlers of further paths.
   """
 
   def __init__(
-      self, accounts: accounts_lib.Accounts, extra: dict[str, Endpoint]
+      self, accounts: accounts_lib.Accounts, extra: dict[str, CallHandler]
   ) -> None:
     self._accounts = accounts
-    self._paths: dict[str, Endpoint] = {
+    self._handlers: dict[str, CallHandler] = {
         peers.RESERVE_PATH: self._reserve,
         peers.SETTLE_PATH: self._settle,
         peers.RECALL_PATH: self._recall,
@@ -73,23 +73,23 @@
       self,
       request: messages.Request,
       body: bytes,
-      responder: front.Responder,
+      responder: http_server.Responder,
   ) -> None:
-    """Answers one call."""
-    endpoint = self._paths.get(request.path)
-    if endpoint is None:
-      await responder.answer(404, [])
+    """Responds to one call."""
+    handler = self._handlers.get(request.path)
+    if handler is None:
+      await responder.respond(404, [])
       return
     try:
-      answer = await endpoint(json.loads(body or b"{}"))
+      result = await handler(json.loads(body or b"{}"))
     except (AttributeError, KeyError, TypeError, ValueError) as exc:
       logger.warning(
           "peer call malformed",
           extra={"path": request.path, "error": repr(exc)},
       )
-      await responder.answer(400, [])
+      await responder.respond(400, [])
       return
-    await responder.answer(200, [], json.dumps(answer).encode())
+    await responder.respond(200, [], json.dumps(result).encode())
 
   async def _reserve(self, body: dict[str, Any]) -> dict[str, Any]:
     handed = await self._accounts.pool.owner.serve_ask(peers.Ask(**body))
@@ -110,10 +110,10 @@
 
 
 class ReadyHandler:
-  """Tells the balancer whether to send callers here.
+  """Serves the load balancer's readiness checks.
 
   Args:
-    is_ready: asked at each call.
+    is_ready: returns whether the router is ready; called for each check.
   """
 
   def __init__(self, is_ready: Callable[[], bool]) -> None:
@@ -123,15 +123,15 @@
       self,
       request: messages.Request,
       body: bytes,
-      responder: front.Responder,
+      responder: http_server.Responder,
   ) -> None:
-    """Answers 200 or 503."""
+    """Responds with 200 if the router is ready, otherwise with 503."""
     del request, body
-    await responder.answer(200 if self._is_ready() else 503, [])
+    await responder.respond(200 if self._is_ready() else 503, [])
 
 
 class TextHandler:
-  """Serves a text, e.g. metrics, at any path.
+  """Serves a text, such as the metrics, at any path.
 
   Args:
     render: returns the text.
@@ -144,9 +144,9 @@
       self,
       request: messages.Request,
       body: bytes,
-      responder: front.Responder,
+      responder: http_server.Responder,
   ) -> None:
-    """Answers with the text as it is now."""
+    """Responds with the current text."""
     del request, body
     plain = (b"content-type", b"text/plain; version=0.0.4")
-    await responder.answer(200, [plain], self._render().encode())
+    await responder.respond(200, [plain], self._render().encode())
--- /dev/null
+++ b/mustardfall/proxy/request_context.py
@@ -0,0 +1,102 @@
+"""The state of a request while the router serves it."""
+
+import dataclasses
+
+from mustardfall.budget import allotment
+from mustardfall.proxy import http_server
+from mustardfall.proxy import messages
+from mustardfall.proxy import streams
+from mustardfall.routing import configuration
+from mustardfall.routing import endpoints
+from mustardfall.routing import placement
+
+
+@dataclasses.dataclass
+class RequestContext:
+  """An admitted request and the state of its attempts."""
+
+  request: messages.Request
+  body: bytes
+  responder: http_server.Responder
+  route: configuration.Route
+  service: configuration.Service
+  team: configuration.Team | None
+  arrived_at: float
+  deadline: float
+  """Latest time of the router's response, in monotonic seconds."""
+  sequencer: streams.EventSequencer
+  fingerprint: str
+  """Identifies repetitions of the same request, see `routing.quarantine`."""
+  reservation: allotment.Reservation | None = None
+  sends: int = 0
+  """Number of attempts, each of which sent the request to an endpoint."""
+  failed_connects: int = 0
+  may_have_run: bool = False
+  body_delivered: bool = False
+  """Whether a successful response that is no event stream was passed on."""
+  reserve_wait_s: float = 0.0
+  """How long the request waited for its reservation of tokens."""
+  tried_endpoints: set[str] = dataclasses.field(default_factory=set)
+  endpoint: str = ""
+  first_output_at: float | None = None
+  """When the response, or its first event, was passed on; monotonic seconds."""
+  error_response: tuple[messages.ResponseHead, bytes] | None = None
+  """A 5xx response of an endpoint, passed on if no other attempt succeeds."""
+
+  @property
+  def used_tokens(self) -> int:
+    """Tokens to bill to the budget.
+
+    A request whose response was lost before any of it was passed on may have
+    run, but its team received nothing: it is billed no tokens.
+    """
+    usage = self.request.usage
+    delivered = bool(self.sequencer.forwarded_events) or self.body_delivered
+    if usage is None or not delivered:
+      return 0
+    output = self.sequencer.forwarded_events * self.tokens_per_event
+    return usage.prompt_tokens + min(usage.max_output_tokens, output)
+
+  @property
+  def tokens_per_event(self) -> int:
+    """Most tokens in one event of the response."""
+    engine = self.service.engine
+    return engine.tokens_per_event if engine else 1
+
+
+class PendingPrefill:
+  """A prompt that an endpoint has yet to process (prefill).
+
+  Its expected duration counts towards the endpoint's load until `end`.
+
+  Args:
+    row: the endpoint.
+    seconds: the expected duration of the prefill.
+  """
+
+  def __init__(self, row: endpoints.Row, seconds: float) -> None:
+    self._row = row
+    self._seconds = seconds
+    row.reading_s += seconds
+
+  def end(self) -> None:
+    """Removes it from the endpoint's load; may be called again.
+
+    Called when the response begins or the request leaves the endpoint.
+    """
+    self._row.reading_s -= self._seconds
+    self._seconds = 0.0
+
+
+def prompt_for_placement(request: messages.Request) -> placement.Prompt:
+  """Returns the prompt's shared prefix and sizes, for cache-aware placement.
+
+  The last part of a prompt is unique to the request, so the part before it
+  identifies the longest prefix that other requests may have cached.
+  """
+  if len(request.parts) < 2:  # noqa: PLR2004
+    return placement.NO_PROMPT
+  *shared, own = request.parts
+  return placement.Prompt(
+      shared[-1].id, sum(part.tokens for part in shared), own.tokens
+  )
--- /dev/null
+++ b/mustardfall/proxy/resource_limiter.py
@@ -0,0 +1,192 @@
+"""Resource-based admission control: limits callers' connections and memory.
+
+The host kills a process that exceeds its memory limit, and with it all requests
+in flight. A process without free file descriptors can reach neither the store
+nor an endpoint. So both are counted, and callers beyond the limits are refused.
+"""
+
+import logging
+import resource
+
+import anyio
+
+from mustardfall import settings
+
+logger = logging.getLogger(__name__)
+
+_BASE_PROCESS_BYTES = 72_000_000
+"""Memory reserved for the program itself, its tables and caches."""
+_USABLE_MEMORY_SHARE = 0.85
+"""Share of the host's memory limit that may be in use; allocators hold more
+memory than the program uses."""
+_MIN_BYTES = 16_000_000
+"""Memory for callers on the smallest hosts, where the above leaves less."""
+_RESERVED_FILES = 400
+"""File descriptors reserved for the program's own files (200 of them), the
+store and other routers."""
+_INTERNAL_CONNECTIONS = 150
+"""Those of the reserved descriptors that serve calls of other routers and the
+load balancer's checks."""
+_INTERNAL_BYTES = 24_000_000
+"""Memory for the internal connections, part of `_BASE_PROCESS_BYTES`."""
+_RESERVED_FILES_SHARE = 0.3
+"""Upper limit of `_RESERVED_FILES` as a share of all descriptors, for processes
+that have few."""
+_REFUSED_CONNECTIONS_RATIO = 1.25
+"""Multiple of the connection limit up to which further connections get a 503;
+beyond it they are closed without a response. Sending a refusal takes a
+descriptor for up to half a second."""
+CONNECTION_BYTES = 16_384
+"""Memory of an idle connection: socket, buffers and a waiting task."""
+REQUEST_OVERHEAD_BYTES = 65_536
+"""Memory of a request in flight besides its bodies: tasks, parsers, the
+connection to its endpoint, and buffers filled for a caller that does not read.
+"""
+BODIES_SHARE = 0.75
+"""Share of the memory that request bodies may take, so that requests without a
+body can still be served."""
+BODY_COPIES = 3
+"""Number of copies of a body in memory at its peak: the received pieces, the
+joined body, and the data being sent."""
+
+
+class ResourceLimiter:
+  """Counts the connections and the memory of callers against their limits.
+
+  Args:
+    max_bytes: the memory limit.
+    max_connections: the limit on open connections.
+  """
+
+  def __init__(self, max_bytes: float, max_connections: int) -> None:
+    self._max_bytes = max_bytes
+    self.max_connections = max_connections
+    self.held_bytes = 0
+    self.connections = 0
+    self._freed = anyio.Event()
+
+  @property
+  def is_exhausted(self) -> bool:
+    """Whether the connection limit is exceeded or no further request fits."""
+    if self.connections > self.max_connections:
+      return True
+    return not self.fits(REQUEST_OVERHEAD_BYTES)
+
+  @property
+  def is_refusal_limit_reached(self) -> bool:
+    """Whether there are too many connections to send each refused one a 503."""
+    return self.connections > self.max_connections * _REFUSED_CONNECTIONS_RATIO
+
+  @property
+  def log_fields(self) -> dict[str, int]:
+    """Connections and memory in use, as fields of a log line."""
+    return {"connections": self.connections, "held_bytes": self.held_bytes}
+
+  def new_allocation(self) -> "Allocation":
+    """Returns an allocation; its connection or request closes it at its end."""
+    return Allocation(self)
+
+  def fits(self, size: int, share: float = 1.0) -> bool:
+    """Whether `size` more bytes fit into a share of the memory limit."""
+    return self.held_bytes + size <= self._max_bytes * share
+
+  def fits_when_empty(self, size: int) -> bool:
+    """Whether `size` bytes would fit if nothing else were allocated."""
+    return size <= self._max_bytes
+
+  def adjust(self, size: int) -> None:
+    """Adds `size`, which may be negative, to the allocated bytes."""
+    self.held_bytes += size
+    if size < 0:
+      self._freed.set()
+      self._freed = anyio.Event()
+
+  async def wait(self) -> None:
+    """Waits until memory is freed."""
+    await self._freed.wait()
+
+
+class Allocation:
+  """The resources of one connection, or of the request on it, until `close`."""
+
+  def __init__(self, limiter: ResourceLimiter) -> None:
+    self._resource_limiter = limiter
+    self._bytes = 0
+    self._is_connection = False
+    self.evicted = False
+    """Whether the connection was closed to free resources for others."""
+
+  def add_connection(self) -> None:
+    """Counts a connection, which has already been accepted."""
+    self._is_connection = True
+    self._resource_limiter.connections += 1
+    self._grow(CONNECTION_BYTES)
+
+  def allocate(self, size: int, share: float = 1.0) -> bool:
+    """Allocates `size` more bytes; returns False, without effect, if too many.
+
+    Args:
+      size: bytes.
+      share: the share of the memory limit into which they must fit.
+    """
+    if not self._resource_limiter.fits(size, share):
+      return False
+    self._grow(size)
+    return True
+
+  def _grow(self, size: int) -> None:
+    self._bytes += size
+    self._resource_limiter.adjust(size)
+
+  def evict(self) -> None:
+    """Frees everything, for the benefit of other callers."""
+    self.evicted = True
+    self.close()
+
+  def close(self) -> None:
+    """Frees everything; may be called again."""
+    if self._is_connection:
+      self._is_connection = False
+      self._resource_limiter.connections -= 1
+    self._grow(-self._bytes)
+
+
+def new_caller_limiter(limits: settings.Limits) -> ResourceLimiter:
+  """Returns a limiter with what a host's limits leave for callers."""
+  limiter = ResourceLimiter(_max_bytes(limits), _max_connections(limits))
+  logger.info(
+      "room for callers",
+      extra={
+          "memory_mb": limits.memory_mb,
+          "bytes": _max_bytes(limits),
+          "connections": _max_connections(limits),
+      },
+  )
+  return limiter
+
+
+def new_internal_limiter() -> ResourceLimiter:
+  """Returns the limiter for other routers, the load balancer and metrics."""
+  return ResourceLimiter(_INTERNAL_BYTES, _INTERNAL_CONNECTIONS)
+
+
+def _max_bytes(limits: settings.Limits) -> float:
+  if not limits.memory_mb:
+    return float("inf")
+  return max(
+      _MIN_BYTES,
+      limits.memory_mb * 1e6 * _USABLE_MEMORY_SHARE - _BASE_PROCESS_BYTES,
+  )
+
+
+def _max_connections(limits: settings.Limits) -> int:
+  """Returns how many connections callers may have open.
+
+  It is half of the available descriptors: each request in flight needs a second
+  connection, to its endpoint.
+  """
+  files, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
+  if limits.files:
+    files = min(files, limits.files)
+  reserved = min(_RESERVED_FILES, files * _RESERVED_FILES_SHARE)
+  return int((files - reserved) / 2)
--- a/mustardfall/proxy/streams.py
+++ b/mustardfall/proxy/streams.py
@@ -1,39 +1,39 @@
-"""Streams of events: cut into whole events, joined when they resume."""
+"""Server-sent event streams: parsing, and resuming at another endpoint."""
 
 from typing import NamedTuple
 
-_MOST_EVENT_BYTES = 1_048_576
-"""An event longer than this is no event of ours."""
+_MAX_EVENT_BYTES = 1_048_576
+"""Largest event accepted; endpoints send much smaller ones."""
 
 
 class Event(NamedTuple):
-  """One whole event of a stream, as received."""
+  """One complete event of a stream, as received."""
 
   id: int | None
   raw: bytes
 
 
-class Splitter:
-  """Cuts a stream's bytes into whole events."""
+class EventParser:
+  """Splits the bytes of a stream into complete events."""
 
   def __init__(self) -> None:
-    self._rest = b""
+    self._incomplete = b""
 
   def feed(self, data: bytes) -> list[Event]:
     """Returns the events that `data` completes.
 
     Raises:
-      ValueError: the bytes are no events.
+      ValueError: an event is longer than `_MAX_EVENT_BYTES`.
     """
-    *whole, self._rest = (self._rest + data).split(b"\n\n")
-    if len(self._rest) > _MOST_EVENT_BYTES:
+    *complete, self._incomplete = (self._incomplete + data).split(b"\n\n")
+    if len(self._incomplete) > _MAX_EVENT_BYTES:
       raise ValueError("event too long")
-    return [Event(_id_of(raw), raw + b"\n\n") for raw in whole]
+    return [Event(_id_of(raw), raw + b"\n\n") for raw in complete]
 
   @property
-  def rest(self) -> bytes:
-    """Returns what is not a whole event yet."""
-    return self._rest
+  def incomplete(self) -> bytes:
+    """The bytes of an event that is not complete yet."""
+    return self._incomplete
 
 
 def _id_of(raw: bytes) -> int | None:
@@ -44,30 +44,33 @@
   return None
 
 
-class Joiner:
-  """Passes each event on once and in order, over several endpoints.
+class EventSequencer:
+  """Ensures that the caller gets each event once and in order.
+
+  It spans all attempts of a request: a stream that broke off is resumed at
+  another endpoint, which may repeat events.
 
   Args:
-    last: the last event that the caller has already, if any.
+    last_event_id: the last event that the caller has already, if any.
   """
 
-  def __init__(self, last: int | None) -> None:
-    self.last = last
-    self.passed = 0
+  def __init__(self, last_event_id: int | None) -> None:
+    self.last_event_id = last_event_id
+    self.forwarded_events = 0
 
-  def take(self, event: Event) -> bool:
-    """Returns whether the caller still lacks `event`.
+  def accept(self, event: Event) -> bool:
+    """Returns whether `event` is to be forwarded: the caller lacks it.
 
     Raises:
-      ValueError: events before it are missing; passing it on would leave
-        a hole that the caller cannot see.
+      ValueError: events before it are missing; forwarding it would leave a
+        gap that the caller cannot detect.
     """
     if event.id is None:
       return True
-    if self.last is not None and event.id <= self.last:
+    if self.last_event_id is not None and event.id <= self.last_event_id:
       return False
-    if self.last is not None and event.id != self.last + 1:
-      raise ValueError(f"event {event.id} follows {self.last}")
-    self.last = event.id
-    self.passed += 1
+    if self.last_event_id is not None and event.id != self.last_event_id + 1:
+      raise ValueError(f"event {event.id} follows {self.last_event_id}")
+    self.last_event_id = event.id
+    self.forwarded_events += 1
     return True
--- a/tests/platformcase.py
+++ b/tests/platformcase.py
@@ -1,4 +1,4 @@
-"""A gateway before the emulated platform, all in one process on loopback."""
+"""A test fixture: the emulated platform and gateways in one process."""
 
 import contextlib
 import dataclasses
@@ -20,7 +20,7 @@
 
 HOST = "shop.example"
 KEY = "key-of-acme"
-TUNED = {
+ROUTER_SETTINGS = {
     "tick_s": 0.05,
     "writer": {"interval_s": 0.0, "linger_s": 0.02, "max_keys": 12},
     "membership": {"ttl_s": 5, "grace_s": 1, "watch_idle_s": 0.5},
@@ -29,7 +29,7 @@
 
 
 def route(name: str, prefix: str, kind: str, **more: Any) -> dict[str, Any]:
-  """Returns a route as the operator writes it."""
+  """Returns a route of the operator's configuration."""
   return {
       "name": name,
       "host": HOST,
@@ -68,17 +68,17 @@
 
 
 @dataclasses.dataclass
-class Answer:
-  """What a caller got; `whole` is whether the answer came to its end."""
+class Response:
+  """A response, or the part of it that was received before a cut-off."""
 
   status: int
   headers: dict[str, str]
   body: bytes
-  whole: bool
+  is_complete: bool
 
 
 class Caller:
-  """One connection of a caller."""
+  """A caller's connection to a gateway."""
 
   def __init__(self, stream) -> None:
     self.stream = stream
@@ -87,7 +87,7 @@
   async def send(
       self, path: str, id_: str, body: bytes = b"", **more: str
   ) -> None:
-    """Sends a request; `more` are headers, with `_` for `-`."""
+    """Sends a request; `more` are further headers, with `_` for `-`."""
     named = {"host": HOST, "request-id": id_, "credential": KEY}
     named |= {"deadline-ms": "2000"}
     named |= {k.replace("_", "-"): v for k, v in more.items()}
@@ -98,14 +98,16 @@
       data += self.parser.send(h11.Data(data=body))
     await self.stream.send(data + self.parser.send(h11.EndOfMessage()))
 
-  async def receive(self) -> Answer:
-    """Returns the next answer."""
+  async def receive(self) -> Response:
+    """Returns the next response."""
     head, body = None, bytearray()
     while True:
       try:
         event = self.parser.next_event()
       except h11.RemoteProtocolError:
-        return Answer(0 if head is None else head.status_code, {}, body, False)
+        return Response(
+            0 if head is None else head.status_code, {}, body, False
+        )
       if event is h11.NEED_DATA:
         try:
           self.parser.receive_data(await self.stream.receive())
@@ -119,13 +121,13 @@
         headers_ = {k.decode(): v.decode() for k, v in head.headers}
         if self.parser.our_state is h11.DONE:
           self.parser.start_next_cycle()
-        return Answer(head.status_code, headers_, bytes(body), True)
+        return Response(head.status_code, headers_, bytes(body), True)
       else:
-        return Answer(0, {}, bytes(body), False)
+        return Response(0, {}, bytes(body), False)
 
 
-class World:
-  """The store, servers and one gateway."""
+class Environment:
+  """The emulated store and servers, and a gateway."""
 
   def __init__(self, clock: clock_lib.Clock) -> None:
     self.store = store_lib.Store(clock)
@@ -133,9 +135,9 @@
     self.gateway: gateway_lib.Gateway | None = None
     self.stop = anyio.Event()
     self.port = 0
-    self.ended = False
-    self.crashes = 0
-    """Servers that requests have ended."""
+    self.gateway_stopped = False
+    self.crash_count = 0
+    """Number of servers that a request has crashed."""
     self.store_port = 0
     self._tasks = None
 
@@ -157,30 +159,32 @@
     self.list_server(id_, port)
     return server
 
-  async def keep_servers(self, crash_on: bytes, back_s: float = 0.3) -> None:
-    """Has servers that a request ends come back under new ids."""
+  async def restart_crashed_servers(
+      self, crash_on: bytes, delay_s: float = 0.3
+  ) -> None:
+    """Replaces each crashed server, after a delay, by one with a new id."""
     for number in itertools.count():
       ended = [
           server for server in self.servers.values() if server.ended.is_set()
       ]
       for server in ended:
         del self.servers[server.id]
-        self.crashes += 1
+        self.crash_count += 1
         self.store.remove(f"servers/{server.id}")
-        self._tasks.start_soon(self._add_later, number, crash_on, back_s)
+        self._tasks.start_soon(self._add_after_delay, number, crash_on, delay_s)
       await anyio.sleep(0.01)
 
-  async def _add_later(
-      self, number: int, crash_on: bytes, back_s: float
+  async def _add_after_delay(
+      self, number: int, crash_on: bytes, delay_s: float
   ) -> None:
-    await anyio.sleep(back_s)
-    again = self.add_server(f"i-again{number}-{self.crashes}")
-    again.behaviour.crash_on = crash_on
+    await anyio.sleep(delay_s)
+    replacement = self.add_server(f"i-again{number}-{self.crash_count}")
+    replacement.behaviour.crash_on = crash_on
 
   async def add_gateway(
       self, name: str, stop: anyio.Event | None = None, started=None
   ) -> gateway_lib.Gateway:
-    """Starts a gateway on a host of its own."""
+    """Starts a gateway as if on another host; returns it when it is ready."""
     found = site(self.store_port, name)
     clock = clock_lib.SystemClock()
     gateway = gateway_lib.Gateway(
@@ -197,25 +201,25 @@
 
     async def _run():
       await gateway.run(loops, found.ready, stop or anyio.Event(), 2.0)
-      self.ended = True
+      self.gateway_stopped = True
 
     self._tasks.start_soon(_run)
-    await self.until(lambda: gateway.ready)
+    await self.wait_until(lambda: gateway.ready)
     return gateway
 
-  async def call(self, path: str, id_: str, **more: Any) -> Answer:
-    """Makes one request on a connection of its own."""
+  async def call(self, path: str, id_: str, **more: Any) -> Response:
+    """Makes one request on a new connection."""
     async with self.caller() as caller:
       await caller.send(path, id_, **more)
       return await caller.receive()
 
   @contextlib.asynccontextmanager
   async def caller(self):
-    """Yields a caller's connection."""
+    """Yields a new connection of a caller."""
     async with await anyio.connect_tcp("127.0.0.1", self.port) as stream:
       yield Caller(stream)
 
-  async def until(self, condition, timeout_s: float = 5.0) -> None:
+  async def wait_until(self, condition, timeout_s: float = 5.0) -> None:
     """Waits until `condition()` holds."""
     with anyio.fail_after(timeout_s):
       while not condition():
@@ -223,7 +227,7 @@
 
 
 def site(store_port: int, name: str = "front-1") -> site_lib.Site:
-  """Returns the settings that the platform would give a host."""
+  """Returns the settings that the platform would give to a host."""
   given = {
       "node": name,
       "ip": "127.0.0.1",
@@ -236,27 +240,29 @@
       "bounds": {"retry_ratio": 0.2, "retry_slack": 58, "grace_s": 3},
       "platform": {"address": f"127.0.0.1:{store_port}"},
   }
-  return site_lib.decode(given, TUNED)
+  return site_lib.decode(given, ROUTER_SETTINGS)
 
 
 @contextlib.asynccontextmanager
 async def running(
     servers: tuple[str, ...] = ("i-1",), started=None, **fields: Any
 ):
-  """Runs the platform and a gateway; yields the `World`."""
+  """Runs the emulated platform and a gateway; yields the `Environment`."""
   clock = clock_lib.SystemClock()
-  world = World(clock)
+  env = Environment(clock)
   store_port = fleet.free_port()
   async with anyio.create_task_group() as tg:
-    world._tasks = tg
-    tg.start_soon(world.store.serve, store_port)
-    world.configure(**fields)
+    env._tasks = tg
+    tg.start_soon(env.store.serve, store_port)
+    env.configure(**fields)
     for id_ in servers:
-      world.add_server(id_)
-    world.store_port = store_port
-    world.gateway = await world.add_gateway("front-1", world.stop, started)
-    world.port = world.gateway.config.listen.port
-    rows = world.gateway.directory.endpoints.rows
-    await world.until(lambda: world.gateway.ready and len(rows) >= len(servers))
-    yield world
+      env.add_server(id_)
+    env.store_port = store_port
+    env.gateway = await env.add_gateway("front-1", env.stop, started)
+    env.port = env.gateway.config.listen.port
+    rows = env.gateway.directory.endpoints.rows
+    await env.wait_until(
+        lambda: env.gateway.ready and len(rows) >= len(servers)
+    )
+    yield env
     tg.cancel_scope.cancel()
--- a/tests/processcase.py
+++ b/tests/processcase.py
@@ -1,7 +1,7 @@
-"""A router as a process of its own before the emulated platform.
+"""A test fixture: the emulated platform and a router in a separate process.
 
-For faults that would end a process: the test is another one, and sees what
-callers, the balancer and an on-call engineer see.
+It is for faults that could end the router's process. The test sees only what
+callers, the load balancer and an on-call engineer see.
 """
 
 import contextlib
@@ -26,26 +26,29 @@
 from tests import platformcase
 
 _ROOT = pathlib.Path(__file__).parent.parent
-_START_S = 20.0
-_STOP_S = 15.0
+_START_TIMEOUT_S = 20.0
+_STOP_TIMEOUT_S = 15.0
 
 
 class Router:
-  """One router process."""
+  """A router in a process of its own."""
 
   def __init__(self, folder: pathlib.Path, store_port: int) -> None:
     self.settings_path = folder / "local.json"
-    self.own_path = folder / "router.yaml"
+    self.router_settings_path = folder / "router.yaml"
     self.log_path = folder / "log"
     self.settings = _settings(store_port)
-    self.own: dict[str, Any] = {**platformcase.TUNED, "proxy": {}}
-    self.most_files: int | None = None
-    """Lowers the process's own limit on descriptors."""
+    self.router_settings: dict[str, Any] = {
+        **platformcase.ROUTER_SETTINGS,
+        "proxy": {},
+    }
+    self.max_files: int | None = None
+    """If set, the process's limit on open file descriptors."""
     self._popen: subprocess.Popen | None = None
 
   @property
   def port(self) -> int:
-    """Where callers connect."""
+    """The port for callers."""
     return int(self.settings["listen"]["front"].rpartition(":")[2])
 
   @property
@@ -53,22 +56,22 @@
     """The process's id."""
     return self._popen.pid
 
-  def write(self, settings: Any) -> None:
+  def write_settings(self, settings: Any) -> None:
     """Writes the platform's settings file."""
     self.settings_path.write_text(json.dumps(settings))
 
   def start(self) -> None:
-    """Starts the process; does not wait for it."""
+    """Starts the process without waiting until it is ready."""
     if not self.settings_path.exists():
-      self.write(self.settings)
-    self.own_path.write_text(yaml.safe_dump(self.own))
+      self.write_settings(self.settings)
+    self.router_settings_path.write_text(yaml.safe_dump(self.router_settings))
     command = [sys.executable, "-m", "mustardfall.platform"]
     command += ["--settings", str(self.settings_path)]
-    command += ["--own", str(self.own_path)]
+    command += ["--own", str(self.router_settings_path)]
     with open(self.log_path, "ab") as log:
       self._popen = subprocess.Popen(command, cwd=_ROOT, stdout=log, stderr=log)
-    if self.most_files is not None:
-      limits = (self.most_files, self.most_files)
+    if self.max_files is not None:
+      limits = (self.max_files, self.max_files)
       resource.prlimit(self.pid, resource.RLIMIT_NOFILE, limits)
 
   def signal(self, number: int) -> None:
@@ -83,31 +86,31 @@
 
   @property
   def is_running(self) -> bool:
-    """Whether the process has not ended."""
+    """Whether the process has been started and has not ended."""
     return self._popen is not None and self._popen.poll() is None
 
   @property
   def log(self) -> str:
-    """What the process has logged so far."""
+    """The process's log so far."""
     return self.log_path.read_text(errors="replace")
 
   @property
   def memory_mb(self) -> float:
-    """Memory that the process has in use now."""
+    """The process's resident memory, in MB."""
     pages = int(pathlib.Path(f"/proc/{self.pid}/statm").read_text().split()[1])
     return pages * resource.getpagesize() / 1e6
 
-  async def until_ready(self, timeout_s: float = _START_S) -> None:
-    """Waits until the balancer would send callers here."""
+  async def wait_until_ready(self, timeout_s: float = _START_TIMEOUT_S) -> None:
+    """Waits until the router's readiness check succeeds."""
     host, _, port = self.settings["listen"]["ready"].rpartition(":")
     deadline = time.monotonic() + timeout_s
-    while not await _answers_ok(host, int(port)):
+    while not await _responds_ok(host, int(port)):
       if not self.is_running or time.monotonic() > deadline:
         raise AssertionError(f"not ready:\n{self.log[-4000:]}")
       await anyio.sleep(0.05)
 
-  async def until_logged(self, text: str, timeout_s: float = 10.0) -> None:
-    """Waits for a log line."""
+  async def wait_until_logged(self, text: str, timeout_s: float = 10.0) -> None:
+    """Waits until the log contains `text`."""
     deadline = time.monotonic() + timeout_s
     while text not in self.log:
       if time.monotonic() > deadline:
@@ -122,13 +125,13 @@
       self.signal(signal.SIGTERM)
     with anyio.CancelScope(shield=True):
       try:
-        return await anyio.to_thread.run_sync(self._popen.wait, _STOP_S)
+        return await anyio.to_thread.run_sync(self._popen.wait, _STOP_TIMEOUT_S)
       except subprocess.TimeoutExpired:
         self._popen.kill()
         return await anyio.to_thread.run_sync(self._popen.wait)
 
 
-async def _answers_ok(host: str, port: int) -> bool:
+async def _responds_ok(host: str, port: int) -> bool:
   try:
     with anyio.fail_after(1.0):
       async with await anyio.connect_tcp(host, port) as stream:
@@ -139,7 +142,7 @@
 
 
 def _settings(store_port: int) -> dict[str, Any]:
-  """Returns the platform's settings file of a host, whole."""
+  """Returns a complete settings file of the platform for a host."""
   listen = {
       role: f"127.0.0.1:{fleet.free_port()}"
       for role in ("front", "ready", "control")
@@ -159,8 +162,8 @@
   }
 
 
-class World:
-  """The store, one server and one router process."""
+class Environment:
+  """The emulated store, one server and one router process."""
 
   def __init__(
       self,
@@ -174,15 +177,15 @@
 
   @contextlib.asynccontextmanager
   async def caller(self):
-    """Yields a caller's connection."""
+    """Yields a new connection of a caller."""
     where = ("127.0.0.1", self.router.port)
     async with await anyio.connect_tcp(*where) as stream:
       yield platformcase.Caller(stream)
 
   async def call(
       self, path: str, id_: str, body: bytes = b"", **more: str
-  ) -> platformcase.Answer:
-    """Makes one request on a connection of its own."""
+  ) -> platformcase.Response:
+    """Makes one request on a new connection."""
     async with self.caller() as caller:
       await caller.send(path, id_, body, **more)
       return await caller.receive()
@@ -190,16 +193,16 @@
 
 @contextlib.asynccontextmanager
 async def running(**limits: int):
-  """Runs the platform; yields a `World` whose router is not started yet.
+  """Runs the platform; yields an `Environment` whose router is not started yet.
 
   Args:
-    **limits: what the operator's configuration limits, as on the wire.
+    **limits: `limits` of the operator's configuration to override.
   """
   store = store_lib.Store(clock_lib.SystemClock())
   store_port = fleet.free_port()
   document = platformcase.configuration()
   for route in document["routes"]:
-    # Many requests at once on a busy machine take their time.
+    # Many concurrent requests are slow on a busy machine.
     route["timeout_ms"] = 20_000
   document["limits"] |= limits
   store.put("op/config", document)
@@ -212,21 +215,21 @@
       tg.start_soon(store.serve, store_port)
       tg.start_soon(server.serve, server_port)
       try:
-        yield World(router, store, server)
+        yield Environment(router, store, server)
       finally:
         await router.stop()
         tg.cancel_scope.cancel()
 
 
-def in_world(**limits: int):
+def in_environment(**limits: int):
   """Runs a test method inside `running(**limits)`."""
 
   def decorate(test):
     def run(self):
       async def go():
         with anyio.fail_after(120):
-          async with running(**limits) as world:
-            await test(self, world)
+          async with running(**limits) as env:
+            await test(self, env)
 
       anyio.run(go)
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -1,4 +1,4 @@
-"""Kept connections: closed once their time is over, and no more than once."""
+"""Closing the idle connections of the pool: each is closed once, when due."""
 
 import collections
 import datetime
@@ -6,48 +6,51 @@
 import anyio
 import testtools
 
-from mustardfall.proxy import links as links_lib
+from mustardfall.proxy import connection_pool as connection_pool_lib
 from mustardfall.util import clock as clock_lib
 
 _ADDRESS = "10.0.0.1:80"
 
 
-class _Links(links_lib.Links):
-  """Connections whose closing lets a request take another one away."""
+class _ConnectionPool(connection_pool_lib.ConnectionPool):
+  """A pool in which a request takes another connection while one is closed."""
 
-  takes = True
+  acquires_during_close = True
 
-  async def discard(self, link):
-    self.discarded.append(link)
+  async def discard(self, connection):
+    self.discarded.append(connection)
     await anyio.lowlevel.checkpoint()
-    if self.takes:
+    if self.acquires_during_close:
       self._pop(_ADDRESS)
 
 
 class CloseIdleTest(testtools.TestCase):
 
-  def _close(self, idle_until, takes=True):
+  def _close(self, idle_until, acquires_during_close=True):
     clock = clock_lib.FakeClock(0.0)
-    links = _Links(clock)
-    links.takes = takes
-    links.discarded = []
-    all_ = [
-        links_lib.Link(_ADDRESS, None, idle_until=until) for until in idle_until
+    connection_pool = _ConnectionPool(clock)
+    connection_pool.acquires_during_close = acquires_during_close
+    connection_pool.discarded = []
+    connections = [
+        connection_pool_lib.Connection(_ADDRESS, None, idle_until=until)
+        for until in idle_until
     ]
-    links._idle[_ADDRESS] = collections.deque(all_)
+    connection_pool._idle[_ADDRESS] = collections.deque(connections)
     clock.advance(datetime.timedelta(seconds=5))
-    anyio.run(links.close_idle)
-    return links, all_
-
-  def test_request_that_takes_one_while_another_closes_is_no_fault(self):
-    # After a host was frozen many connections are due at once. While one is
-    # closed a request looks at the next; the loop that closes them, and runs
-    # all the router's systems, used to end on what was gone meanwhile.
-    links, (first, second, third) = self._close([1.0, 2.0, 3.0])
-    self.assertEqual([first, second, third], links.discarded)
-    self.assertNotIn(_ADDRESS, links._idle)
-
-  def test_those_whose_time_is_not_over_are_kept(self):
-    links, (due, kept) = self._close([1.0, 9.0], takes=False)
-    self.assertEqual([due], links.discarded)
-    self.assertEqual([kept], list(links._idle[_ADDRESS]))
+    anyio.run(connection_pool.close_expired)
+    return connection_pool, connections
+
+  def test_request_may_acquire_a_connection_while_another_is_closed(self):
+    # After a host was frozen, many connections are due at once. While one is
+    # closed, a request acquires another one. The loop that closes them, which
+    # runs all of the router's periodic tasks, used to fail on the missing one.
+    connection_pool, (first, second, third) = self._close([1.0, 2.0, 3.0])
+    self.assertEqual([first, second, third], connection_pool.discarded)
+    self.assertNotIn(_ADDRESS, connection_pool._idle)
+
+  def test_unexpired_connections_are_kept(self):
+    connection_pool, (expired, unexpired) = self._close(
+        [1.0, 9.0], acquires_during_close=False
+    )
+    self.assertEqual([expired], connection_pool.discarded)
+    self.assertEqual([unexpired], list(connection_pool._idle[_ADDRESS]))
