--- a/mustardfall/platform/site.py
+++ b/mustardfall/platform/process_settings.py
@@ -77,7 +77,7 @@
 _Model = TypeVar("_Model", bound=_Part)
 
 
-class Site(NamedTuple):
+class ProcessSettings(NamedTuple):
   """What the platform tells one process."""
 
   router: settings.Router
@@ -100,7 +100,7 @@
   return merged
 
 
-def load(path: str, own: str | None) -> Site:
+def load(path: str, own: str | None) -> ProcessSettings:
   """Reads the platform's file and the router's own settings.
 
   Args:
@@ -141,7 +141,7 @@
   return model.model_validate(kept)
 
 
-def decode(given: Any, tuned: dict[str, Any]) -> Site:
+def decode(given: Any, tuned: dict[str, Any]) -> ProcessSettings:
   """Decodes the platform's fields; `tuned` goes over what follows from them.
 
   Raises:
@@ -177,7 +177,7 @@
           / members_lib.CLOSE_FLEET,
       },
   }
-  return Site(
+  return ProcessSettings(
       router=settings.parse(_merge(derived, tuned), settings.Router),
       store_address=store,
       ready=ready,
--- a/mustardfall/platform/program.py
+++ b/mustardfall/platform/program.py
@@ -13,7 +13,7 @@
 from mustardfall import gateway as gateway_lib
 from mustardfall.platform import followers as followers_lib
 from mustardfall.platform import headers
-from mustardfall.platform import site as site_lib
+from mustardfall.platform import process_settings
 from mustardfall.platform import store
 from mustardfall.util import clock as clock_lib
 from mustardfall.util import logging as log_setup
@@ -49,7 +49,7 @@
 
 def _check_settings(path: str, own: str | None) -> None:
   try:
-    site_lib.load(path, own)
+    process_settings.load(path, own)
     logger.info("settings reloaded", extra={"path": path})
   except errors.SettingsError as exc:
     logger.error("settings rejected", extra={"error": str(exc)})
@@ -66,7 +66,7 @@
     os._exit(0)
 
 
-async def _load(path: str, own: str | None) -> site_lib.Site:
+async def _load(path: str, own: str | None) -> process_settings.ProcessSettings:
   """Returns the settings, as soon as they make sense.
 
   The file may be read while it is being written. Ending would only have the
@@ -75,7 +75,7 @@
   rejected = ""
   while True:
     try:
-      return site_lib.load(path, own)
+      return process_settings.load(path, own)
     except errors.SettingsError as exc:
       if str(exc) != rejected:
         rejected = str(exc)
@@ -83,7 +83,9 @@
     await anyio.sleep(_RELOAD_S)
 
 
-async def _serve(site: site_lib.Site, stop: anyio.Event) -> None:
+async def _serve(
+    site: process_settings.ProcessSettings, stop: anyio.Event
+) -> None:
   clock = clock_lib.SystemClock()
   gateway = gateway_lib.Gateway(
       site.router,
@@ -104,7 +106,7 @@
 @click.option(
     "--settings",
     "path",
-    envvar=site_lib.SETTINGS_VARIABLE,
+    envvar=process_settings.SETTINGS_VARIABLE,
     required=True,
     help="The platform's settings file.",
 )
