--- a/mustardfall/util/sockets.py
+++ b/mustardfall/util/sockets.py
@@ -36,7 +36,7 @@
 _Opened = TypeVar("_Opened")
 
 
-async def open_port(
+async def bind_with_retry(
     what: str, port: int, create: Callable[[], Awaitable[_Opened]]
 ) -> _Opened:
   """Opens a port as soon as it can be had.
@@ -72,7 +72,7 @@
     )
     return list(found.listeners)
 
-  return await open_port(what, port, _create)
+  return await bind_with_retry(what, port, _create)
 
 
 def split_address(address: str) -> tuple[str, int]:
