--- a/mustardfall/metrics.py
+++ b/mustardfall/metrics.py
@@ -51,7 +51,7 @@
         description="tokens that engines generated beyond a reservation",
     )
 
-  def observe(
+  def observe_totals(
       self, name: str, unit: str, description: str, totals: Mapping[str, int]
   ) -> None:
     """Serves running totals that are kept by kind elsewhere.
--- a/mustardfall/overhead.py
+++ b/mustardfall/overhead.py
@@ -35,13 +35,13 @@
     """Calls and datagrams so far, by kind."""
     self.sizes: collections.Counter[str] = collections.Counter()
     """Bytes of their contents so far, by kind."""
-    instruments.observe(
+    instruments.observe_totals(
         "mustardfall.control",
         "",
         "calls and datagrams beside requests",
         self.counts,
     )
-    instruments.observe(
+    instruments.observe_totals(
         "mustardfall.control_bytes",
         "By",
         "contents of those calls and datagrams",
