--- a/mustardfall/platform/__init__.py
+++ b/mustardfall/platform/__init__.py
@@ -1,5 +1,5 @@
-"""The adapter to the users' platform: it translates, and decides nothing.
+"""Adapter to the users' platform: translates only, all decisions are elsewhere.
 
-The platform's names stand in this folder only. What they mean is decoded
-here once into the program's own types.
+The platform's names for headers, fields and keys occur in this package only,
+where they are decoded into the types that the rest of the program uses.
 """
--- a/mustardfall/platform/__main__.py
+++ b/mustardfall/platform/__main__.py
@@ -4,11 +4,12 @@
 
 
 def main() -> None:
-  """Runs the program; the settings signal is ignored until it is heard.
+  """Runs the router; ignores SIGHUP until the router handles it.
 
-  Its default ends the process. Loading the program takes half a second, on a
-  small host more, and an operator's change of the settings may come in it.
-  What comes before is in the file that the program reads afterwards.
+  By default SIGHUP terminates the process. Importing the router's modules
+  takes half a second, longer on a small host, and an operator may reload the
+  settings in that time. Nothing is lost by ignoring that signal: the settings
+  file is read after the import.
   """
   signal.signal(signal.SIGHUP, signal.SIG_IGN)
   from mustardfall.platform import program  # noqa: PLC0415  see above
--- a/mustardfall/platform/documents.py
+++ b/mustardfall/platform/documents.py
@@ -1,8 +1,8 @@
-"""The documents in the platform's store: configuration and server list.
+"""Decodes the configuration and the server list of the platform's store.
 
-Others write there too. Each entry of the server list and each part of the
-configuration is checked by itself, so that one that makes no sense is passed
-over and the rest is known.
+Other programs write these documents as well. Each entry of the server list and
+each part of the configuration (a route, service or team, or the limits) is
+validated separately, so that an invalid one does not hide the others.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -21,99 +21,103 @@
 CONFIGURATION_KEY = "op/config"
 SERVERS_PREFIX = "servers/"
 
-_ADDRESS = r"^(\d{1,3}\.){3}\d{1,3}:\d{1,5}$"
-_HEADER_TOKEN = r"^[\x21-\x7e]+$"
-"""What can be sent in a header as it is."""
-_MOST_PORT = 65_535
-_KINDS = {
+_ADDRESS_PATTERN = r"^(\d{1,3}\.){3}\d{1,3}:\d{1,5}$"
+_HEADER_VALUE_PATTERN = r"^[\x21-\x7e]+$"
+"""Visible ASCII characters, which a header value holds without encoding."""
+_MAX_PORT = 65_535
+_ROUTE_KINDS = {
     "safe": configuration.Kind.IDEMPOTENT,
     "unsafe": configuration.Kind.ONCE,
     "streaming": configuration.Kind.STREAM,
 }
-_STATES: dict[str, endpoints.State] = {"ready": "live", "draining": "leaving"}
+_ENDPOINT_STATES: dict[str, endpoints.State] = {
+    "ready": "live",
+    "draining": "leaving",
+}
 
-_Number = Annotated[float, pydantic.Field(ge=0, allow_inf_nan=False)]
-_Count = Annotated[int, pydantic.Field(ge=0)]
+_NonNegativeFloat = Annotated[float, pydantic.Field(ge=0, allow_inf_nan=False)]
+_NonNegativeInt = Annotated[int, pydantic.Field(ge=0)]
 _Decoded = TypeVar("_Decoded")
 
 
-class _Part(pydantic.BaseModel):
-  """A JSON object whose known fields must be of their own types."""
+class _JsonModel(pydantic.BaseModel):
+  """A JSON object: unknown fields are ignored, known ones not converted."""
 
   model_config = pydantic.ConfigDict(extra="ignore", strict=True)
 
 
-class _Server(_Part):
-  """An entry of the server list; its id stands in its key only."""
+class _ServerEntry(_JsonModel):
+  """An entry of the server list; the server's id is in the key only."""
 
   service: str
-  address: str = pydantic.Field(pattern=_ADDRESS)
+  address: str = pydantic.Field(pattern=_ADDRESS_PATTERN)
   zone: str
   version: str
-  slots: _Count
+  slots: _NonNegativeInt
   state: Literal["ready", "draining"]
-  cold_left_ms: _Number
-  seq: _Count
-  born: _Count | None = None
-  """Unix ms of the server's start: it may start again under its id."""
+  cold_left_ms: _NonNegativeFloat
+  seq: _NonNegativeInt
+  born: _NonNegativeInt | None = None
+  """Start of the server process, Unix milliseconds. A restarted server keeps
+  its id, so that this alone tells it from the process before."""
 
   @pydantic.field_validator("address")
   @classmethod
   def _check_port(cls, address: str) -> str:
-    if int(address.rpartition(":")[2]) > _MOST_PORT:
-      raise ValueError("no such port")
+    if int(address.rpartition(":")[2]) > _MAX_PORT:
+      raise ValueError(f"port is above {_MAX_PORT}")
     return address
 
 
-class _Split(_Part):
+class _SplitWeight(_JsonModel):
   service: str
-  weight: _Number
+  weight: _NonNegativeFloat
 
 
-class _Route(_Part):
+class _RoutePart(_JsonModel):
   name: str
   host: str
   prefix: str = pydantic.Field(pattern=r"^/(.*/)?$")
   kind: Literal["safe", "unsafe", "streaming"]
-  timeout_ms: _Number
-  slo_ms: _Number | None = None
+  timeout_ms: _NonNegativeFloat
+  slo_ms: _NonNegativeFloat | None = None
   priority: int | None = None
   service: str | None = None
-  split: list[_Split] | None = None
-  max_attempts: _Count | None = None
+  split: list[_SplitWeight] | None = None
+  max_attempts: _NonNegativeInt | None = None
   public: bool | None = None
   resumable: bool | None = None
 
 
-class _Engine(_Part):
-  slots: _Count | None = None
-  kv_capacity: _Count | None = None
-  stride: _Count | None = None
-  """Most tokens that one event of a stream holds."""
+class _EnginePart(_JsonModel):
+  slots: _NonNegativeInt | None = None
+  kv_capacity: _NonNegativeInt | None = None
+  stride: _NonNegativeInt | None = None
+  """Maximum number of tokens in one event of a stream."""
 
 
-class _Service(_Part):
+class _ServicePart(_JsonModel):
   name: str
-  max_conns: _Count | None = None
-  engine: _Engine | None = None
+  max_conns: _NonNegativeInt | None = None
+  engine: _EnginePart | None = None
 
 
-class _Team(_Part):
+class _TenantPart(_JsonModel):
   name: str
   api_keys: list[str] | None = None
   priority: int | None = None
-  prepaid: _Count | None = None
+  prepaid: _NonNegativeInt | None = None
 
 
-class _Limits(_Part):
-  max_header_bytes: _Count | None = None
-  max_body_bytes: _Count | None = None
-  header_timeout_ms: _Number | None = None
-  idle_timeout_ms: _Number | None = None
+class _LimitsPart(_JsonModel):
+  max_header_bytes: _NonNegativeInt | None = None
+  max_body_bytes: _NonNegativeInt | None = None
+  header_timeout_ms: _NonNegativeFloat | None = None
+  idle_timeout_ms: _NonNegativeFloat | None = None
 
 
-class _Document(_Part):
-  """The configuration, its parts not looked at yet."""
+class _ConfigurationDocument(_JsonModel):
+  """The whole configuration, before its parts are validated."""
 
   version: int
   routes: list[Any]
@@ -122,69 +126,74 @@
   limits: Any = None
 
 
-def _ms(value: float) -> datetime.timedelta:
+def _milliseconds(value: float) -> datetime.timedelta:
   return datetime.timedelta(milliseconds=value)
 
 
 class ConfigurationDecoder:
   """Decodes successive versions of `op/config`.
 
-  Parts that a version shares with the one before are not decoded again: the
-  configuration may hold thousands, of which a version changes a few.
+  A part that is the same object as in the previous version is not decoded
+  again: a configuration may hold thousands, of which a version changes a few.
   """
 
   def __init__(self) -> None:
-    self._decoded: dict[str, dict[str, _Known]] = {}
-    """What became of each named part of the last version, by kind."""
+    self._decoded: dict[str, dict[str, _DecodedPart]] = {}
+    """Decoded parts of the previous version, by kind and name."""
 
   def decode(self, document: Mapping[str, Any]) -> configuration.Configuration:
-    """Returns the configuration that a JSON object holds.
+    """Decodes a configuration document; invalid parts are left out.
 
     Raises:
-      ValueError: it is not a configuration.
+      ValueError: a required field of the document is missing or of another
+        type.
     """
-    whole = _Document.model_validate(document)
-    limits = self._decode_parts("limits", [whole.limits or {}], _limits)
+    validated = _ConfigurationDocument.model_validate(document)
+    limits = self._decode_parts(
+        "limits", [validated.limits or {}], _decode_limits
+    )
     return configuration.Configuration(
-        version=whole.version,
-        routes=self._decode_parts("route", whole.routes, _route),
-        services=self._decode_parts("service", whole.services, _service),
-        teams=self._decode_parts("team", whole.tenants or [], _team),
+        version=validated.version,
+        routes=self._decode_parts("route", validated.routes, _decode_route),
+        services=self._decode_parts(
+            "service", validated.services, _decode_service
+        ),
+        teams=self._decode_parts("team", validated.tenants or [], _decode_team),
         limits=limits[0] if limits else configuration.DEFAULT_LIMITS,
     )
 
   def _decode_parts(
       self, kind: str, parts: list[Any], decode: Callable[[Any], _Decoded]
   ) -> list[_Decoded]:
-    """Returns the parts that make sense; logs the others."""
-    known = self._decoded.get(kind, {})
-    self._decoded[kind] = now = {}
-    found = []
+    """Decodes the valid parts; logs the invalid ones."""
+    previous = self._decoded.get(kind, {})
+    self._decoded[kind] = current = {}
+    results = []
     for number, part in enumerate(parts):
-      name = _name(part)
-      before = known.get(name)
-      if before is not None and before.part is part:
-        decoded = before.decoded
+      name = _part_name(part)
+      cached = previous.get(name)
+      if cached is not None and cached.part is part:
+        decoded = cached.decoded
       else:
         try:
           decoded = decode(part)
         except ValueError as exc:
           _log_unreadable(kind, number, exc)
           continue
-      found.append(decoded)
-      now[name] = _Known(part, decoded)
-    return found
+      results.append(decoded)
+      current[name] = _DecodedPart(part, decoded)
+    return results
 
 
-class _Known(NamedTuple):
-  """A part of a configuration, and what was decoded of it."""
+class _DecodedPart(NamedTuple):
+  """A part of a configuration document and the object decoded from it."""
 
   part: Any
   decoded: Any
 
 
-def _name(part: Any) -> str:
-  """Returns a part's name, empty where it has none."""
+def _part_name(part: Any) -> str:
+  """Returns the name of a part; empty if it has none."""
   name = part.get("name") if isinstance(part, dict) else None
   return name if isinstance(name, str) else ""
 
@@ -192,12 +201,12 @@
 def _log_unreadable(kind: str, number: int, exc: ValueError) -> None:
   logger.error(
       "configuration part unreadable",
-      extra={"part": kind, "number": number, "error": _say(exc)},
+      extra={"part": kind, "number": number, "error": _format_error(exc)},
   )
 
 
-def _say(exc: ValueError) -> str:
-  """Returns an error in a line, without the value that caused it."""
+def _format_error(exc: ValueError) -> str:
+  """Formats an error on one line, without the value that caused it."""
   if not isinstance(exc, pydantic.ValidationError):
     return str(exc)
   return "; ".join(
@@ -206,22 +215,22 @@
   )
 
 
-def _route(raw: Any) -> configuration.Route:
-  data = _Route.model_validate(raw)
-  split = [share for share in data.split or [] if share.weight > 0]
+def _decode_route(raw: Any) -> configuration.Route:
+  data = _RoutePart.model_validate(raw)
+  split = [target for target in data.split or [] if target.weight > 0]
   if not split and data.service is None:
-    raise ValueError("no service")
-  split = split or [_Split(service=data.service, weight=1)]
+    raise ValueError("neither a service nor a split with a weight above 0")
+  split = split or [_SplitWeight(service=data.service, weight=1)]
   return configuration.Route(
       name=data.name,
       authority=data.host.lower(),
       prefix=data.prefix,
-      kind=_KINDS[data.kind],
-      timeout=_ms(data.timeout_ms),
-      objective=_ms(data.slo_ms or data.timeout_ms),
+      kind=_ROUTE_KINDS[data.kind],
+      timeout=_milliseconds(data.timeout_ms),
+      objective=_milliseconds(data.slo_ms or data.timeout_ms),
       priority=data.priority or 0,
       split=tuple(
-          configuration.Share(share.service, share.weight) for share in split
+          configuration.Share(target.service, target.weight) for target in split
       ),
       max_attempts=data.max_attempts or 1,
       public=bool(data.public),
@@ -229,8 +238,8 @@
   )
 
 
-def _service(raw: Any) -> configuration.Service:
-  data = _Service.model_validate(raw)
+def _decode_service(raw: Any) -> configuration.Service:
+  data = _ServicePart.model_validate(raw)
   engine = data.engine
   return configuration.Service(
       name=data.name,
@@ -244,8 +253,8 @@
   )
 
 
-def _team(raw: Any) -> configuration.Team:
-  data = _Team.model_validate(raw)
+def _decode_team(raw: Any) -> configuration.Team:
+  data = _TenantPart.model_validate(raw)
   return configuration.Team(
       name=data.name,
       api_keys=tuple(data.api_keys or ()),
@@ -254,69 +263,74 @@
   )
 
 
-def _limits(raw: Any) -> configuration.Limits:
-  data = _Limits.model_validate(raw)
+def _decode_limits(raw: Any) -> configuration.Limits:
+  data = _LimitsPart.model_validate(raw)
   default = configuration.DEFAULT_LIMITS
   header_ms, idle_ms = data.header_timeout_ms, data.idle_timeout_ms
   return configuration.Limits(
       header_bytes=data.max_header_bytes or default.header_bytes,
       body_bytes=data.max_body_bytes or default.body_bytes,
-      header_timeout=_ms(header_ms) if header_ms else default.header_timeout,
-      idle_timeout=_ms(idle_ms) if idle_ms else default.idle_timeout,
+      header_timeout=_milliseconds(header_ms)
+      if header_ms
+      else default.header_timeout,
+      idle_timeout=_milliseconds(idle_ms) if idle_ms else default.idle_timeout,
   )
 
 
-class ServerList:
-  """Decodes the server list; logs each entry that makes no sense once."""
+class ServerListDecoder:
+  """Decodes the server list; logs each revision of an invalid entry once."""
 
   def __init__(self) -> None:
-    self._logged: dict[str, int] = {}
-    """Revisions of the entries that were unreadable when last read."""
+    self._logged_revisions: dict[str, int] = {}
+    """Revision of each entry that was invalid at the last read, by key."""
 
   def decode(self, records: Iterable[protocol.Record]) -> list[endpoints.Host]:
-    """Returns the list as `endpoints.Table` takes it.
+    """Decodes the list for `endpoints.Table`.
 
-    An entry that makes no sense may have been written over a server's own.
-    It is listed as unusable, so that the server there gets no more work
-    and is not waited for as one that is only missing.
+    An invalid entry may have overwritten the entry of a running server. It is
+    listed as unusable, so that this server gets no more requests. Left out, it
+    would count as missing, and right after an outage of the store
+    `directory.Directory` keeps the missing ones for a while.
     """
-    logged, self._logged = self._logged, {}
+    already_logged, self._logged_revisions = self._logged_revisions, {}
     hosts = []
     for record in records:
       name = record.key.removeprefix(SERVERS_PREFIX)
       try:
-        hosts.append(_host(name, _Server.model_validate_json(record.value)))
+        hosts.append(
+            _build_host(name, _ServerEntry.model_validate_json(record.value))
+        )
       except ValueError as exc:
-        hosts.append(_unusable(name))
-        self._logged[record.key] = record.mod_revision
-        if logged.get(record.key) != record.mod_revision:
+        hosts.append(_build_unusable_host(name))
+        self._logged_revisions[record.key] = record.mod_revision
+        if already_logged.get(record.key) != record.mod_revision:
           extra = {
               "entry": record.key,
               "revision": record.mod_revision,
-              "error": _say(exc),
+              "error": _format_error(exc),
           }
           logger.error("server entry unreadable", extra=extra)
     return hosts
 
 
-_NAME = pydantic.TypeAdapter(
-    Annotated[str, pydantic.Field(pattern=_HEADER_TOKEN)]
+_SERVER_ID = pydantic.TypeAdapter(
+    Annotated[str, pydantic.Field(pattern=_HEADER_VALUE_PATTERN)]
 )
 
 
-def _host(name: str, data: _Server) -> endpoints.Host:
+def _build_host(name: str, data: _ServerEntry) -> endpoints.Host:
   return endpoints.Host(
-      name=_NAME.validate_python(name),
+      name=_SERVER_ID.validate_python(name),
       url=data.address,
       datacentre=data.zone,
       kind=data.service,
       models=[],
-      state=_STATES[data.state],
+      state=_ENDPOINT_STATES[data.state],
       started_ms=data.born,
   )
 
 
-def _unusable(name: str) -> endpoints.Host:
+def _build_unusable_host(name: str) -> endpoints.Host:
   return endpoints.Host(
       name=name, url="", datacentre="", kind="", models=[], state="unusable"
   )
--- a/mustardfall/platform/sources.py
+++ b/mustardfall/platform/sources.py
@@ -57,7 +57,7 @@
   def __init__(self, kv: store_lib.Store, clock: clock_lib.Clock) -> None:
     self._kv = kv
     self._clock = clock
-    self._list = documents.ServerList()
+    self._list = documents.ServerListDecoder()
 
   def precedes(self, one: deltas.Document, other: deltas.Document) -> bool:
     """Returns False: versions of the list have no order."""
