--- a/mustardfall/platform/followers.py
+++ b/mustardfall/platform/followers.py
@@ -1,4 +1,4 @@
-"""Loops that bring the platform's documents into the gateway."""
+"""Loops that keep the gateway up to date with the platform's documents."""
 
 from collections.abc import Awaitable, Callable
 import logging
@@ -20,198 +20,207 @@
 
 logger = logging.getLogger(__name__)
 
-_BEHIND_S = 0.3
-"""How long a router whose copy is not the one told of does not read it: others
-may know the change, or another reader tells it with the next datagram."""
-_RETRY_GROWTH = 2.0
-"""Each read that fails puts off the next by so many times more."""
-_SPREAD = 0.3
-"""Part of a pause that is left to chance."""
+_CATCH_UP_S = 0.3
+"""How long a router whose copy is outdated leaves the store alone. Another
+router may have the change, or a reader may send it with its next notice."""
+_BACKOFF_FACTOR = 2.0
+"""Growth of the pause with each consecutive failure."""
+_JITTER = 0.3
+"""Fraction of a pause that is random."""
 
 
-class _Retry(NamedTuple):
-  """Pauses after reads that failed, seconds."""
+class _Backoff(NamedTuple):
+  """Bounds of the pause after a failed read."""
 
-  first_s: float
-  most_s: float
+  initial_s: float
+  max_s: float
 
 
-_TELLERS = _Retry(0.3, 1.0)
-"""For those who tell the others what they read: they must find out soon when
-the store is back."""
-_TOLD = _Retry(1.2, 4.0)
-"""For all others."""
+_NOTIFIER_BACKOFF = _Backoff(0.3, 1.0)
+"""For routers that read or notify the others: they must detect soon that the
+store is reachable again."""
+_DEFAULT_BACKOFF = _Backoff(1.2, 4.0)
+"""For all other routers."""
 
-Take = Callable[[deltas.Document], Awaitable[None]]
-"""Takes a document in that may be the same as before."""
+DocumentHandler = Callable[[deltas.Document], Awaitable[None]]
+"""Applies a document, which may be the same as in the previous call."""
 
 
 class Follower:
-  """Keeps one document current: told of changes, or reading for itself.
+  """Keeps one document current, from other routers' notices or by reading it.
 
   Args:
-    source: where it is read.
-    take: is given it, anew whenever it was found to be current.
-    gateway: whose copies, notices and relay are used.
+    source: reads the document from the store.
+    apply: called with the document when it changed or was found to be current.
+    gateway: owner of the copies, the notices and the relay.
     clock: the time source.
-    lose: called while nobody tells and it cannot be read.
+    on_unreachable: called after each failed read while the copy is older than
+      the source's `max_silence_s`.
   """
 
   def __init__(
       self,
       source: sources.Source,
-      take: Take,
+      apply: DocumentHandler,
       gateway: gateway_lib.Gateway,
       clock: clock_lib.Clock,
-      lose: Callable[[], None] = lambda: None,
+      on_unreachable: Callable[[], None] = lambda: None,
   ) -> None:
     self._source = source
     self._name = source.name
-    self._take = take
+    self._apply = apply
     self._copies = gateway.copies
     self._notices = gateway.notices
     self._relay = gateway.relay
     self._clock = clock
-    self._lose = lose
-    self._taken: copies_lib.Copy | None = None
+    self._on_unreachable = on_unreachable
+    self._applied: copies_lib.Copy | None = None
     self._failures = 0
     self._behind_since: float | None = None
 
   async def run(self) -> None:
     """Keeps the document current until cancelled."""
     while True:
-      if self._is_behind and await self._catch_up():
+      if self._must_catch_up and await self._catch_up():
         continue
-      if not self._is_due():
-        await self._listen()
+      if not self._must_read():
+        await self._wait_for_notice()
       elif await self.read():
-        await anyio.sleep(self._source.pace_s)
+        await anyio.sleep(self._source.min_interval_s)
       else:
-        await self._pause()
+        await self._back_off()
 
-  def _patience_s(self) -> float:
-    return self._notices.patience_s(self._source.silence_s)
+  def _max_silence_s(self) -> float:
+    return self._notices.patience_s(self._source.max_silence_s)
 
-  def _is_due(self) -> bool:
-    """Whether this router has to read for itself."""
+  def _must_read(self) -> bool:
+    """Whether this router has to read the document from the store."""
     if self._copies.find(self._name) is None:
       return True
-    if self._notices.silent_s(self._name) >= self._patience_s():
+    if self._notices.silent_s(self._name) >= self._max_silence_s():
       return True
     behind_since = self._behind_since
     if behind_since is None:
       return False
-    return self._clock.monotonic() - behind_since >= _BEHIND_S
+    return self._clock.monotonic() - behind_since >= _CATCH_UP_S
 
   @property
-  def _is_behind(self) -> bool:
-    """Whether others told of a version without telling what has changed."""
+  def _must_catch_up(self) -> bool:
+    """Whether a notice named a newer version without its change.
+
+    False on the readers, which read it from the store.
+    """
     return self._behind_since is not None and not self._notices.reads
 
   async def _catch_up(self) -> bool:
-    """Takes what has changed from another router; whether one had it."""
+    """Fetches the change from another router; returns whether one had it."""
     for member in self._notices.sources():
       want = self._notices.digest(self._name)
-      found = await self._relay.ask(member, self._name, want)
-      if found is not None:
-        await self._keep_fetched(found)
+      fetched = await self._relay.ask(member, self._name, want)
+      if fetched is not None:
+        await self._save_fetched(fetched)
       if self._notices.agrees(self._name):
         self._behind_since = None
         return True
     return False
 
-  async def _listen(self) -> None:
-    """Waits for a notice, or for the time to read."""
-    left_s = self._patience_s() - self._notices.silent_s(self._name)
+  async def _wait_for_notice(self) -> None:
+    """Waits until a notice arrives or a read is due."""
+    left_s = self._max_silence_s() - self._notices.silent_s(self._name)
     if self._behind_since is not None:
-      left_s = min(left_s, _BEHIND_S)
+      left_s = min(left_s, _CATCH_UP_S)
     await self._notices.wait(left_s)
-    await self._take_current()
+    await self._apply_copy()
 
-  async def _take_current(self) -> None:
-    """Has the copy taken in where it changed or was found current again."""
+  async def _apply_copy(self) -> None:
+    """Applies the copy if it changed or was confirmed to be current."""
     if self._notices.agrees(self._name):
       self._behind_since = None
     elif self._behind_since is None:
       self._behind_since = self._clock.monotonic()
     copy = self._copies.find(self._name)
-    if copy is not None and copy != self._taken:
-      self._taken = copy
+    if copy is not None and copy != self._applied:
+      self._applied = copy
       with anyio.CancelScope(shield=True):
-        await self._take(copy.document)
+        await self._apply(copy.document)
 
   async def read(self) -> bool:
-    """Reads the document once; returns whether the store gave it."""
+    """Reads the document once; returns whether the read succeeded."""
     try:
       async with anyio.create_task_group() as tasks:
-        tasks.start_soon(self._take_told)
+        tasks.start_soon(self._apply_notices)
         document, as_of = await self._source.read()
         tasks.cancel_scope.cancel()
     except* (errors.KvUnavailableError, errors.KvUnknownError) as group:
-      logger.debug("%s not read: %s", self._name, group.exceptions)
+      logger.debug("document %s not read: %s", self._name, group.exceptions)
       document = None
     if document is None:
-      await self._ask_others()
-      if self._copies.age_s(self._name) > self._source.silence_s:
-        self._lose()
+      await self._fetch_from_peers()
+      if self._copies.age_s(self._name) > self._source.max_silence_s:
+        self._on_unreachable()
       return False
     self._failures = 0
     self._behind_since = None
-    await self._keep(document, as_of)
+    await self._save_and_notify(document, as_of)
     return True
 
-  async def _take_told(self) -> None:
-    """Takes in what others tell while this router reads.
+  async def _apply_notices(self) -> None:
+    """Applies copies that change during a read, until cancelled.
 
-    An answer may take seconds over a slow link, and others know the document
-    before it is here.
+    Over a slow link the store's response may take seconds, and notices of
+    other routers bring the document earlier.
     """
     while True:
-      await self._notices.wait(_BEHIND_S)
-      await self._take_current()
-
-  async def _keep(self, document: deltas.Document, as_of: float) -> None:
-    """Keeps what was read, and tells the others."""
-    before = self._copies.find(self._name)
-    if before is not None and self._source.precedes(document, before.document):
-      return  # others told of a later version while it was on its way
+      await self._notices.wait(_CATCH_UP_S)
+      await self._apply_copy()
+
+  async def _save_and_notify(
+      self, document: deltas.Document, as_of: float
+  ) -> None:
+    """Saves a document that was read from the store and notifies the others."""
+    previous = self._copies.find(self._name)
+    if previous is not None and self._source.precedes(
+        document, previous.document
+    ):
+      return  # a notice brought a later version during the read
     copy = self._copies.put(self._name, document, as_of)
-    await self._take_current()
+    await self._apply_copy()
     if not self._notices.tells:
       return
-    if before is not None and before.digest != copy.digest:
-      change = deltas.diff(before.document, document)
+    if previous is not None and previous.digest != copy.digest:
+      change = deltas.diff(previous.document, document)
       await self._notices.tell_change(self._name, change)
     elif self._name == documents.SERVERS_PREFIX:
-      # The list is read most often; the others' digests go with it.
+      # A notice carries the digests of all documents. The server list is read
+      # most often, so notices go out after its reads.
       await self._notices.tell()
 
-  async def _ask_others(self) -> None:
-    """Takes another router's copy where it is fresher than the own one."""
-    found = await self._relay.fetch(self._name)
-    if found is not None:
-      await self._keep_fetched(found)
+  async def _fetch_from_peers(self) -> None:
+    """Fetches the document from another router if that has a newer copy."""
+    fetched = await self._relay.fetch(self._name)
+    if fetched is not None:
+      await self._save_fetched(fetched)
 
-  async def _keep_fetched(self, found: relay_lib.Fetched) -> None:
-    """Keeps what another router knows, where it is fresher."""
+  async def _save_fetched(self, fetched: relay_lib.Fetched) -> None:
+    """Saves a document of another router if it is newer than the own copy."""
     copy = self._copies.find(self._name)
-    if copy is not None and copy.as_of >= found.as_of:
+    if copy is not None and copy.as_of >= fetched.as_of:
       return
-    self._copies.put(self._name, found.document, found.as_of)
-    await self._take_current()
-
-  async def _pause(self) -> None:
-    """Waits before the next try, or until others tell what is current."""
-    tells = self._notices.tells or self._notices.reads
-    first_s, most_s = _TELLERS if tells else _TOLD
-    pause_s = min(most_s, first_s * _RETRY_GROWTH**self._failures)
-    pause_s *= 1 + _SPREAD * (random.random() - 0.5)
+    self._copies.put(self._name, fetched.document, fetched.as_of)
+    await self._apply_copy()
+
+  async def _back_off(self) -> None:
+    """Waits before the next read, or until a notice makes it unnecessary."""
+    notifies = self._notices.tells or self._notices.reads
+    initial_s, max_s = _NOTIFIER_BACKOFF if notifies else _DEFAULT_BACKOFF
+    pause_s = min(max_s, initial_s * _BACKOFF_FACTOR**self._failures)
+    pause_s *= 1 + _JITTER * (random.random() - 0.5)
     self._failures += 1
-    ends = self._clock.monotonic() + pause_s
-    while (left_s := ends - self._clock.monotonic()) > 0:
+    resume_at = self._clock.monotonic() + pause_s
+    while (left_s := resume_at - self._clock.monotonic()) > 0:
       await self._notices.wait(left_s)
-      await self._take_current()
-      if not self._notices.reads and not self._is_due():
+      await self._apply_copy()
+      if not self._notices.reads and not self._must_read():
         return
 
 
@@ -219,7 +228,7 @@
   """Follows the configuration, the server list and the other routers.
 
   Args:
-    gateway: is told of them.
+    gateway: the application object that uses the documents.
     kv: the platform's store.
     clock: the time source.
   """
@@ -233,47 +242,50 @@
     self._gateway = gateway
     self._members = gateway.accounts.members
     self.configuration = Follower(
-        sources.Configuration(kv, clock), self._configure, gateway, clock
+        sources.Configuration(kv, clock),
+        self._apply_configuration,
+        gateway,
+        clock,
     )
     self.servers = Follower(
-        sources.Servers(kv, clock), self._list, gateway, clock
+        sources.Servers(kv, clock), self._apply_servers, gateway, clock
     )
     self.members = Follower(
         sources.Members(kv, clock),
-        self._meet,
+        self._apply_members,
         gateway,
         clock,
-        self._lose_members,
+        self._mark_unreachable,
     )
-    self._version = ""
-    """Digest of the configuration that was decoded last."""
+    self._decoded_digest = ""
+    """Digest of the configuration that was last decoded, valid or not."""
     self._decoder = documents.ConfigurationDecoder()
 
   def loops(self) -> list[Callable[[], Awaitable[None]]]:
     """Returns the loops to be supervised."""
     return [self.configuration.run, self.servers.run, self.members.run]
 
-  async def _configure(self, document: deltas.Document) -> None:
+  async def _apply_configuration(self, document: deltas.Document) -> None:
     copy = self._gateway.copies.find(documents.CONFIGURATION_KEY)
     if not document or copy is None:
       return
     self._gateway.directory.confirm_configuration(copy.as_of)
-    if copy.digest == self._version:
+    if copy.digest == self._decoded_digest:
       return
-    self._version = copy.digest
+    self._decoded_digest = copy.digest
     try:
-      new = self._decoder.decode(document)
+      decoded = self._decoder.decode(document)
     except ValueError as exc:
       logger.error("configuration unreadable", extra={"error": repr(exc)})
       return
-    self._gateway.take_configuration(new)
+    self._gateway.take_configuration(decoded)
 
-  async def _list(self, document: deltas.Document) -> None:
+  async def _apply_servers(self, document: deltas.Document) -> None:
     await self._gateway.take_endpoints(document["hosts"])
 
-  async def _meet(self, document: deltas.Document) -> None:
+  async def _apply_members(self, document: deltas.Document) -> None:
     self._members.take([members_lib.from_row(r) for r in document["members"]])
     self._members.note_touch(True)
 
-  def _lose_members(self) -> None:
+  def _mark_unreachable(self) -> None:
     self._members.note_touch(False)
--- a/mustardfall/platform/sources.py
+++ b/mustardfall/platform/sources.py
@@ -1,4 +1,4 @@
-"""How a router reads the documents that it shares from the platform's store."""
+"""Reads the documents that routers share from the platform's store."""
 
 import json
 import logging
@@ -13,36 +13,37 @@
 
 logger = logging.getLogger(__name__)
 
-_REVISION_S = 5.0
-"""Changes since a revision are asked for only this long after it was read:
-later the history may be gone, and it may be longer than the document."""
+_MAX_REVISION_AGE_S = 5.0
+"""Age of a revision up to which only the changes since then are read. For an
+older one the store may have compacted the changes, or they may be longer than
+the document."""
 
 
 class Source(Protocol):
-  """Where a document is read."""
+  """Reads one document."""
 
   name: str
-  silence_s: float
-  """A router that was told nothing for so long reads for itself."""
-  pace_s: float
-  """Least time from one read to the next."""
+  max_silence_s: float
+  """Time without a notice after which any router reads the document itself."""
+  min_interval_s: float
+  """Minimum time from the end of one read to the next."""
 
   async def read(self) -> tuple[deltas.Document, float]:
-    """Returns the document and when it was current, monotonic seconds.
+    """Returns the document and the monotonic time at which it was current.
 
     Raises:
-      errors.KvUnavailableError, errors.KvUnknownError: it could not be read.
+      errors.KvUnavailableError, errors.KvUnknownError: the read failed.
     """
 
-  def precedes(self, one: deltas.Document, other: deltas.Document) -> bool:
-    """Whether a version is known to be earlier than another one."""
+  def precedes(self, document: deltas.Document, other: deltas.Document) -> bool:
+    """Whether `document` is known to be an earlier version than `other`."""
 
 
 class Servers:
-  """The server list.
+  """The server list, always read as a whole.
 
-  It is read whole: a watch would return at once all the time, since each
-  server writes its entry about every second.
+  Each server writes its entry about every second, so that a watch would
+  return immediately each time.
 
   Args:
     kv: the platform's store.
@@ -50,74 +51,75 @@
   """
 
   name = documents.SERVERS_PREFIX
-  silence_s = 1.1
-  """A server that leaves must get no more work 2 s after it said so."""
-  pace_s = 0.5
+  max_silence_s = 1.1
+  """A server must get no more requests 2 s after it announced that it leaves.
+  """
+  min_interval_s = 0.5
 
   def __init__(self, kv: store_lib.Store, clock: clock_lib.Clock) -> None:
     self._kv = kv
     self._clock = clock
-    self._list = documents.ServerListDecoder()
+    self._decoder = documents.ServerListDecoder()
 
-  def precedes(self, one: deltas.Document, other: deltas.Document) -> bool:
-    """Returns False: versions of the list have no order."""
-    del one, other
+  def precedes(self, document: deltas.Document, other: deltas.Document) -> bool:
+    """Returns False: versions of the server list are not ordered."""
+    del document, other
     return False
 
   async def read(self) -> tuple[deltas.Document, float]:
-    """Returns `{"hosts": ...}`, see `Source`."""
-    asked_at = self._clock.monotonic()
+    """Returns `{"hosts": ...}`; see `Source.read`."""
+    requested_at = self._clock.monotonic()
     _, records = await self._kv.get_prefix(self.name)
-    return {"hosts": self._list.decode(records)}, asked_at
+    return {"hosts": self._decoder.decode(records)}, requested_at
 
 
-class _Watched:
-  """A prefix of which only changes are read after the first time.
+class _WatchedPrefix:
+  """The records under a key prefix; after the first read only changes are read.
 
   Args:
     kv: the platform's store.
     clock: the time source.
-    prefix: the keys.
-    wait_s: how long a call waits for a change.
+    prefix: the key prefix.
+    poll_timeout_s: maximum time that a call waits for a change.
   """
 
-  pace_s = store_lib.WATCH_PACE_S
+  min_interval_s = store_lib.WATCH_INTERVAL_S
 
   def __init__(
       self,
       kv: store_lib.Store,
       clock: clock_lib.Clock,
       prefix: str,
-      wait_s: float,
+      poll_timeout_s: float,
   ) -> None:
     self._kv = kv
     self._clock = clock
     self._prefix = prefix
-    self._wait_s = wait_s
+    self._poll_timeout_s = poll_timeout_s
     self._records: dict[str, protocol.Record] = {}
     self._revision = 0
     self._read_at = -float("inf")
 
-  def precedes(self, one: deltas.Document, other: deltas.Document) -> bool:
-    """Returns False: most documents' versions have no order."""
-    del one, other
+  def precedes(self, document: deltas.Document, other: deltas.Document) -> bool:
+    """Returns False: versions of most documents are not ordered."""
+    del document, other
     return False
 
   async def _read_records(self) -> dict[str, protocol.Record]:
-    """Returns the records by key, after a change or the time to wait."""
-    is_recent = self._clock.monotonic() - self._read_at <= _REVISION_S
+    """Returns the records by key, after a change or the poll timeout."""
+    is_recent = self._clock.monotonic() - self._read_at <= _MAX_REVISION_AGE_S
     self._read_at = -float("inf")
     if is_recent:
-      await self._take_changes()
+      await self._apply_changes()
     else:
       self._revision, records = await self._kv.get_prefix(self._prefix)
       self._records = {record.key: record for record in records}
     self._read_at = self._clock.monotonic()
     return self._records
 
-  async def _take_changes(self) -> None:
+  async def _apply_changes(self) -> None:
     self._revision, events = await self._kv.poll(
-        self._prefix, self._revision, self._wait_s
+        self._prefix, self._revision, self._poll_timeout_s
     )
     for event in events:
       if event.deleted:
@@ -126,7 +128,7 @@
         self._records[event.record.key] = event.record
 
 
-class Configuration(_Watched):
+class Configuration(_WatchedPrefix):
   """The operators' configuration.
 
   Args:
@@ -135,35 +137,35 @@
   """
 
   name = documents.CONFIGURATION_KEY
-  silence_s = 2.2
-  """A connection of a reader that goes silent is noticed a little before."""
+  max_silence_s = 2.2
+  """Slightly longer than a reader takes to detect a silent connection."""
   _PREFIX = "op/"
-  _WAIT_S = 0.8
+  _POLL_TIMEOUT_S = 0.8
 
   def __init__(self, kv: store_lib.Store, clock: clock_lib.Clock) -> None:
-    super().__init__(kv, clock, self._PREFIX, self._WAIT_S)
+    super().__init__(kv, clock, self._PREFIX, self._POLL_TIMEOUT_S)
     self._document: deltas.Document = {}
-    self._decoded: protocol.Record | None = None
-    """The record that the document was decoded from."""
+    self._decoded_record: protocol.Record | None = None
+    """The record from which `_document` was decoded."""
 
-  def precedes(self, one: deltas.Document, other: deltas.Document) -> bool:
-    """Whether the operators wrote a version before another one."""
-    versions = one.get("version"), other.get("version")
+  def precedes(self, document: deltas.Document, other: deltas.Document) -> bool:
+    """Whether `document` has a lower version number than `other`."""
+    versions = document.get("version"), other.get("version")
     if not all(isinstance(version, int) for version in versions):
       return False
     return versions[0] < versions[1]
 
   async def read(self) -> tuple[deltas.Document, float]:
-    """Returns the configuration, see `Source`; empty before the first."""
+    """Returns the configuration, empty if there is none; see `Source.read`."""
     records = await self._read_records()
     record = records.get(self.name)
-    if record is not self._decoded:
+    if record is not self._decoded_record:
       self._document = _decode_object(record) if record is not None else {}
-      self._decoded = record
+      self._decoded_record = record
     return self._document, self._read_at
 
 
-class Members(_Watched):
+class Members(_WatchedPrefix):
   """The routers that have registered.
 
   Args:
@@ -172,15 +174,16 @@
   """
 
   name = members_lib.PREFIX
-  silence_s = 6.0
-  """Nothing depends on it at once: who is asked in vain is passed over."""
-  _WAIT_S = 3.0
+  max_silence_s = 6.0
+  """Long, since an outdated list does little harm: a router that does not
+  answer is skipped."""
+  _POLL_TIMEOUT_S = 3.0
 
   def __init__(self, kv: store_lib.Store, clock: clock_lib.Clock) -> None:
-    super().__init__(kv, clock, members_lib.PREFIX, self._WAIT_S)
+    super().__init__(kv, clock, members_lib.PREFIX, self._POLL_TIMEOUT_S)
 
   async def read(self) -> tuple[deltas.Document, float]:
-    """Returns `{"members": ...}`, see `Source`."""
+    """Returns `{"members": ...}`; see `Source.read`."""
     records = await self._read_records()
     members = members_lib.decode(records[key] for key in sorted(records))
     rows = [member._asdict() for member in members]
@@ -188,15 +191,15 @@
 
 
 def _decode_object(record: protocol.Record) -> deltas.Document:
-  """Returns a record's JSON object, an empty one where it holds none."""
+  """Decodes a record's JSON object; logs and returns {} if it holds none."""
   try:
-    found = json.loads(record.value)
+    parsed = json.loads(record.value)
   except (ValueError, RecursionError) as exc:
-    found, error = None, repr(exc)
+    parsed, error = None, repr(exc)
   else:
-    error = "no object"
-  if isinstance(found, dict):
-    return found
+    error = "not a JSON object"
+  if isinstance(parsed, dict):
+    return parsed
   logger.error(
       "configuration unreadable",
       extra={"revision": record.mod_revision, "error": error},
--- a/mustardfall/platform/store.py
+++ b/mustardfall/platform/store.py
@@ -1,4 +1,4 @@
-"""A client of the platform's store; serves `kv.protocol.Store`."""
+"""Client of the platform's key-value store; implements `kv.protocol.Store`."""
 
 import base64
 from collections.abc import AsyncIterator
@@ -18,97 +18,101 @@
 
 logger = logging.getLogger(__name__)
 
-_CALL_S = 0.45
-"""A call takes 4 ms, and 240 ms when the store is slow sixtyfold."""
-_WATCH_MOST_S = 30.0
-WATCH_PACE_S = 0.15
-"""Least time from one watch's answer to the next call. Routers that start
-together register one by one: without it, each router would call for each."""
-_WATCH_SLACK_S = 0.6
-"""How much later than asked a watch may answer before it is taken for
-dead: connections can go silent for good."""
-
-_MOST_ENTRIES = 32
-"""Of one transaction."""
+_CALL_TIMEOUT_S = 0.45
+"""Timeout of a call. One takes 4 ms, and 240 ms when the store is 60 times
+slower than usual."""
+_MAX_WATCH_S = 30.0
+WATCH_INTERVAL_S = 0.15
+"""Minimum time between the response of a watch and the next call. Routers that
+start together register one after the other: without a pause, each registration
+would cost a call of every router."""
+_WATCH_TIMEOUT_MARGIN_S = 0.6
+"""Added to the waiting time of a watch to get the timeout of its call. A
+connection can go silent without being closed."""
+
+_MAX_TXN_ENTRIES = 32
+"""Maximum number of keys in one transaction."""
 
 _OK = 200
 _NOT_FOUND = 404
 _CONFLICT = 412
-_HISTORY_GONE = 410
-_NOT_DONE = (403, 429, 503)
-"""The store did nothing."""
+_HISTORY_COMPACTED = 410
+_NO_EFFECT = (403, 429, 503)
+"""Statuses with which the store rejects a call without executing it."""
 
 
-class _Answer(pydantic.BaseModel):
-  """What the store answers; other fields are of no use here."""
+class _Response(pydantic.BaseModel):
+  """A response of the store; unknown fields are ignored."""
 
   model_config = pydantic.ConfigDict(extra="ignore", strict=True)
 
 
-class _Item(_Answer):
-  """A key as it is, or was removed."""
+class _Item(_Response):
+  """The state of a key, or its removal."""
 
   key: str
   value: str | None = None
-  """Base64 text."""
+  """Base64."""
   rev: int = 0
-  """The revision of its last change; 0: there is no such key."""
+  """Revision of the last change of the key; 0: the key does not exist."""
   removed: Any = None
 
 
-class _Page(_Answer):
+class _RangeResponse(_Response):
   items: list[_Item]
   has_more: Any = False
   store_revision: int
 
 
-class _Changes(_Answer):
+class _WatchResponse(_Response):
   events: list[_Item]
   store_revision: int
 
 
-class _Conflict(_Answer):
+class _ConflictResponse(_Response):
   items: list[_Item] = []
 
 
-class _Written(_Answer):
+class _TxnResponse(_Response):
   rev: int
 
 
-class _Granted(_Answer):
+class _LeaseResponse(_Response):
   lease: int
 
 
-class _Kept(_Answer):
+class _KeepAliveResponse(_Response):
   ttl_ms: float
 
 
-_Model = TypeVar("_Model", bound=_Answer)
+_Model = TypeVar("_Model", bound=_Response)
 
 
-def _record(item: _Item) -> protocol.Record:
+def _decode_record(item: _Item) -> protocol.Record:
   """Decodes an item.
 
   Raises:
-    errors.KvUnknownError: its value is no base64 text.
+    errors.KvUnknownError: its value is not valid base64.
   """
   try:
     value = base64.b64decode(item.value or "")
   except ValueError as exc:
-    raise errors.KvUnknownError(f"{item.key}: {exc}") from exc
+    raise errors.KvUnknownError(
+        f"value of key {item.key!r} is not valid base64: {exc}"
+    ) from exc
   return protocol.Record(item.key, value, item.rev, 0)
 
 
-def _query(path: str, **fields: object) -> str:
+def _build_target(path: str, **fields: object) -> str:
   return f"{path}?{urllib.parse.urlencode(fields)}"
 
 
 class Store:
-  """Talks to the platform's store.
+  """Client of the platform's store.
 
   Args:
-    address: `HOST:PORT`.
-    caller: makes the calls.
+    address: `HOST:PORT` of the store.
+    caller: sends the HTTP requests.
     clock: the time source.
   """
 
@@ -121,24 +125,24 @@
 
   @property
   def calls(self) -> int:
-    """Calls made."""
+    """Number of calls made so far."""
     return self._caller.calls
 
   @property
   def reachable(self) -> bool:
-    """Whether the last call was answered."""
+    """Whether calls are answered: False after repeated failures."""
     return not self._contact.lost
 
   async def close(self) -> None:
-    """Does nothing: the connections are the caller's."""
+    """Does nothing: `caller` owns the connections."""
 
   async def _call(
       self,
       method: str,
       target: str,
       body: dict[str, Any] | None = None,
-      timeout_s: float = _CALL_S,
-      eager: bool = False,
+      timeout_s: float = _CALL_TIMEOUT_S,
+      bypass_breaker: bool = False,
   ) -> calls_lib.Reply:
     """Makes one call.
 
@@ -147,15 +151,17 @@
       target: path and query.
       body: sent as JSON.
       timeout_s: seconds.
-      eager: try even while the store is away; followers do, at a pace of
-        their own.
+      bypass_breaker: send the call even while the store counts as
+        unreachable. Followers do, since they limit their own rate.
 
     Raises:
-      errors.KvUnavailableError: it had no effect.
-      errors.KvUnknownError: it may have had.
+      errors.KvUnavailableError: the call had no effect.
+      errors.KvUnknownError: the call may have had an effect.
     """
-    if not eager and not self._contact.may_try():
-      raise errors.KvUnavailableError("store away")
+    if not bypass_breaker and not self._contact.may_try():
+      raise errors.KvUnavailableError(
+          f"{method} {target}: not sent, store {self._address} is unreachable"
+      )
     content = b"" if body is None else json.dumps(body).encode()
     try:
       reply = await self._caller.call(
@@ -167,7 +173,7 @@
     except errors.BrokenAnswerError as exc:
       self._contact.note(str(exc))
       raise errors.KvUnknownError(str(exc)) from exc
-    if reply.status in _NOT_DONE:
+    if reply.status in _NO_EFFECT:
       self._contact.note(f"status {reply.status}")
       raise errors.KvUnavailableError(f"{target}: status {reply.status}")
     self._contact.note(None)
@@ -176,7 +182,12 @@
   def _parse(
       self, reply: calls_lib.Reply, target: str, model: type[_Model]
   ) -> _Model:
-    """Decodes an answer; one that makes no sense says nothing."""
+    """Decodes a response.
+
+    Raises:
+      errors.KvUnknownError: the call failed or its response is invalid, so
+        that its effect is unknown.
+    """
     if reply.status != _OK:
       raise errors.KvUnknownError(f"{target}: status {reply.status}")
     try:
@@ -187,26 +198,26 @@
 
   async def get(self, key: str) -> protocol.Record | None:
     """Returns the record at `key`, or None when there is none."""
-    target = _query("/-/kv-key", key=key)
+    target = _build_target("/-/kv-key", key=key)
     reply = await self._call("GET", target)
     if reply.status == _NOT_FOUND:
       return None
-    return _record(self._parse(reply, target, _Item))
+    return _decode_record(self._parse(reply, target, _Item))
 
   async def get_many(self, keys: list[str]) -> dict[str, protocol.Record]:
     """Returns the records found at `keys`.
 
-    A transaction without changes, on condition that none of them exists, tells
-    of up to 32 in one call.
+    Up to 32 keys are read with one call: a transaction without changes, with
+    the precondition that none of them exists, returns those that do.
     """
     found = {}
     if len(keys) == 1:
       record = await self.get(keys[0])
       return {keys[0]: record} if record is not None else {}
-    for begin in range(0, len(keys), _MOST_ENTRIES):
+    for start in range(0, len(keys), _MAX_TXN_ENTRIES):
       absent = [
           protocol.Compare(key, "MOD", 0)
-          for key in keys[begin : begin + _MOST_ENTRIES]
+          for key in keys[start : start + _MAX_TXN_ENTRIES]
       ]
       result = await self.txn(absent, [])
       found |= {record.key: record for record in result.records}
@@ -221,11 +232,11 @@
       fields = (
           {"prefix": prefix, "after": after} if after else {"prefix": prefix}
       )
-      target = _query("/-/kv-range", **fields)
-      reply = await self._call("GET", target, eager=True)
-      page = self._parse(reply, target, _Page)
+      target = _build_target("/-/kv-range", **fields)
+      reply = await self._call("GET", target, bypass_breaker=True)
+      page = self._parse(reply, target, _RangeResponse)
       revision = revision or page.store_revision
-      records += [_record(item) for item in page.items]
+      records += [_decode_record(item) for item in page.items]
       if not page.has_more or not page.items or records[-1].key <= after:
         return revision, records
       after = records[-1].key
@@ -243,8 +254,8 @@
   ) -> protocol.TxnResult:
     """Runs a compare-and-swap transaction.
 
-    The store always returns what the conditions found when they fail, so
-    the reads in `failure` need not be sent.
+    `failure` is ignored: if a precondition fails, the store returns the records
+    of its keys in any case.
     """
     del failure
     puts = [op for op in success if isinstance(op, protocol.Put)]
@@ -262,43 +273,48 @@
     }
     reply = await self._call("POST", "/-/kv-txn", body)
     if reply.status == _NOT_FOUND:
-      raise errors.KvUnavailableError("the lease has ended")
+      raise errors.KvUnavailableError(
+          "/-/kv-txn: a lease of the transaction has expired or was revoked"
+      )
     if reply.status == _CONFLICT:
       answer = reply._replace(status=_OK)
-      items = self._parse(answer, "txn", _Conflict).items
-      records = [_record(item) for item in items if item.rev]
+      items = self._parse(answer, "txn", _ConflictResponse).items
+      records = [_decode_record(item) for item in items if item.rev]
       return protocol.TxnResult(False, 0, records)
-    written = self._parse(reply, "txn", _Written)
-    return protocol.TxnResult(True, written.rev, [])
+    committed = self._parse(reply, "txn", _TxnResponse)
+    return protocol.TxnResult(True, committed.rev, [])
 
   async def grant_lease(self, ttl_s: int) -> int:
     """Grants a lease of `ttl_s` seconds; returns its id."""
     body = {"ttl_ms": ttl_s * 1000}
     reply = await self._call("POST", "/-/kv-lease", body)
-    return self._parse(reply, "lease", _Granted).lease
+    return self._parse(reply, "lease", _LeaseResponse).lease
 
   async def keep_alive(self, lease: int) -> int:
-    """Renews `lease`; returns the TTL left, 0 when it has lapsed."""
+    """Renews `lease`; returns its TTL in seconds, 0 if it has expired."""
     reply = await self._call("POST", f"/-/kv-keep/{lease}")
     if reply.status == _NOT_FOUND:
       return 0
-    return max(1, int(self._parse(reply, "keep", _Kept).ttl_ms / 1000))
+    return max(
+        1, int(self._parse(reply, "keep", _KeepAliveResponse).ttl_ms / 1000)
+    )
 
   async def revoke_lease(self, lease: int) -> None:
-    """Ends `lease`; the keys under it are deleted."""
+    """Revokes `lease`; the store deletes the keys attached to it."""
     await self._call("DELETE", f"/-/kv-lease-end/{lease}")
 
   async def watch(
       self, prefix: str, start_revision: int, idle_s: float
   ) -> AsyncIterator[protocol.Event]:
-    """Yields every change under `prefix` from `start_revision` on.
+    """Yields the changes under `prefix`, from `start_revision` on.
 
     Each call waits for `idle_s` at most, so that a connection that has
-    gone silent is noticed soon after.
+    gone silent is detected soon after.
 
     Raises:
-      errors.KvUnavailableError: the watch broke, or the history is gone;
-        read again, then watch.
+      errors.KvUnavailableError, errors.KvUnknownError: the call failed, or the
+        store no longer has the changes since then; read the prefix again
+        before watching it.
     """
     after = start_revision - 1
     while True:
@@ -306,36 +322,41 @@
       for event in events:
         yield event
       if events:
-        await anyio.sleep(WATCH_PACE_S)
+        await anyio.sleep(WATCH_INTERVAL_S)
 
   async def poll(
       self, prefix: str, after: int, wait_s: float
   ) -> tuple[int, list[protocol.Event]]:
-    """Waits once for changes under `prefix` after a revision.
+    """Waits once for changes under `prefix` after the revision `after`.
 
     Returns:
-      The revision to go on from, and the changes up to it; none when there
-      was none within `wait_s`.
+      The revision to pass as `after` next time, and the changes up to it;
+      no changes if there were none within `wait_s`.
 
     Raises:
-      errors.KvUnavailableError, errors.KvUnknownError: the watch broke, or
-        the history is gone; read again.
+      errors.KvUnavailableError, errors.KvUnknownError: the call failed, or the
+        store no longer has the changes since `after`; read the prefix again.
     """
-    wait_s = min(wait_s, _WATCH_MOST_S)
-    target = _query(
+    wait_s = min(wait_s, _MAX_WATCH_S)
+    target = _build_target(
         "/-/kv-watch",
         prefix=prefix,
         after=after,
         wait_ms=int(wait_s * 1000),
     )
     reply = await self._call(
-        "GET", target, timeout_s=wait_s + _WATCH_SLACK_S, eager=True
+        "GET",
+        target,
+        timeout_s=wait_s + _WATCH_TIMEOUT_MARGIN_S,
+        bypass_breaker=True,
     )
-    if reply.status == _HISTORY_GONE:
-      raise errors.KvUnavailableError("watch: history gone")
-    changes = self._parse(reply, target, _Changes)
+    if reply.status == _HISTORY_COMPACTED:
+      raise errors.KvUnavailableError(
+          f"watch of {prefix!r}: the changes after revision {after} are compacted"
+      )
+    changes = self._parse(reply, target, _WatchResponse)
     events = [
-        protocol.Event(bool(event.removed), _record(event))
+        protocol.Event(bool(event.removed), _decode_record(event))
         for event in changes.events
     ]
     return max(after, changes.store_revision), events
