--- a/mustardfall/platform/headers.py
+++ b/mustardfall/platform/headers.py
@@ -1,4 +1,4 @@
-"""The platform's headers, decoded into the data path's types."""
+"""Translates between the platform's headers and the types of the data path."""
 
 import math
 import urllib.parse
@@ -8,20 +8,20 @@
 
 _REQUEST_ID = b"request-id"
 _DEADLINE_MS = b"deadline-ms"
-_API_KEY = b"credential"
-_USAGE = b"token-usage"
-_PARTS = b"prompt-prefix"
+_CREDENTIAL = b"credential"
+_TOKEN_USAGE = b"token-usage"
+_PROMPT_PREFIX = b"prompt-prefix"
 _MODEL = b"model"
-_LAST_EVENT = b"last-event-id"
-_TEAM = b"tenant"
-_ENDPOINT = b"expect-instance"
-_PRIORITY = b"request-priority"
-_SIGNATURE = b"response-signature"
-_NOT_RUN = b"not-executed"
-_LOAD = b"server-load"
+_LAST_EVENT_ID = b"last-event-id"
+_TENANT = b"tenant"
+_EXPECT_INSTANCE = b"expect-instance"
+_REQUEST_PRIORITY = b"request-priority"
+_RESPONSE_SIGNATURE = b"response-signature"
+_NOT_EXECUTED = b"not-executed"
+_SERVER_LOAD = b"server-load"
 _RETRY_AFTER = b"retry-after"
-_MISDIRECTED = 421
-_HEAD_FIELDS = 3
+_MISDIRECTED_REQUEST = 421
+_LOAD_FIELDS = 3
 
 _HOP_BY_HOP = frozenset(
     (
@@ -38,16 +38,17 @@
         b"expect",
     )
 )
-"""These concern one connection only; the body's length is set anew."""
+"""Headers that apply to one connection only. `content-length` is among them
+since the router sets it for each message that it sends."""
 
-_OURS = frozenset(
+_ROUTER_ONLY = frozenset(
     (
         _DEADLINE_MS,
-        _API_KEY,
-        _LAST_EVENT,
-        _TEAM,
-        _ENDPOINT,
-        _PRIORITY,
+        _CREDENTIAL,
+        _LAST_EVENT_ID,
+        _TENANT,
+        _EXPECT_INSTANCE,
+        _REQUEST_PRIORITY,
         b"expect-version",
         b"hold",
         b"pin-ms",
@@ -56,29 +57,33 @@
         b"kv-fetch",
     )
 )
-"""Set by the router alone. A caller that could set them would act as
-another team, or reach another request's memory."""
+"""Headers that are removed from callers' requests: only the router sets them. A
+caller that could set them could act as another team or access the KV cache of
+another request."""
 
-_KEPT = frozenset((_REQUEST_ID, _MODEL, _USAGE, _PARTS, b"host"))
-"""Never dropped because a caller lists them as of its connection: the
-endpoint would run another request than the one that was admitted."""
+_NEVER_CONNECTION_OPTIONS = frozenset(
+    (_REQUEST_ID, _MODEL, _TOKEN_USAGE, _PROMPT_PREFIX, b"host")
+)
+"""Headers that are forwarded even if the caller lists them in `connection`.
+Without them the endpoint would run another request than the admitted one."""
 
-_SINGLE = frozenset(
+_SINGLE_VALUED = frozenset(
     (
         _REQUEST_ID,
         _DEADLINE_MS,
-        _API_KEY,
-        _USAGE,
-        _PARTS,
+        _CREDENTIAL,
+        _TOKEN_USAGE,
+        _PROMPT_PREFIX,
         _MODEL,
         b"host",
     )
 )
-"""Given twice, two programs might each read another one."""
+"""Headers that must not be repeated: the router and the endpoint might each use
+another one of the values."""
 
 
-def _listed(headers: list[messages.Header]) -> set[bytes]:
-  """Returns the names that the sender lists as of its connection only."""
+def _connection_options(headers: list[messages.Header]) -> set[bytes]:
+  """Returns the header names that the sender lists in `connection`."""
   return {
       name.strip().lower()
       for header, value in headers
@@ -87,15 +92,15 @@
   }
 
 
-def _passed_on(
+def _forwardable(
     headers: list[messages.Header], dropped: frozenset[bytes]
 ) -> tuple[messages.Header, ...]:
-  listed = _listed(headers) - _KEPT
-  out = _HOP_BY_HOP | dropped | listed
-  return tuple((name, value) for name, value in headers if name not in out)
+  options = _connection_options(headers) - _NEVER_CONNECTION_OPTIONS
+  removed = _HOP_BY_HOP | dropped | options
+  return tuple((name, value) for name, value in headers if name not in removed)
 
 
-def _number(value: bytes | None, name: str) -> float | None:
+def _parse_number(value: bytes | None, name: str) -> float | None:
   if value is None:
     return None
   try:
@@ -107,7 +112,7 @@
   return number
 
 
-def _usage(value: bytes | None) -> messages.Usage | None:
+def _parse_usage(value: bytes | None) -> messages.Usage | None:
   if value is None:
     return None
   prompt, _, output = value.partition(b",")
@@ -120,7 +125,7 @@
   return usage
 
 
-def _parts(value: bytes | None) -> tuple[messages.PromptPart, ...]:
+def _parse_prompt_parts(value: bytes | None) -> tuple[messages.PromptPart, ...]:
   if not value:
     return ()
   try:
@@ -131,33 +136,37 @@
 
 
 class Dialect:
-  """The platform's headers; see `messages.Dialect`."""
+  """Header translation for the platform; implements `messages.Dialect`."""
 
   def decode_request(
       self, method: bytes, target: bytes, headers: list[messages.Header]
   ) -> messages.Request:
-    """Returns what a caller sent; raises `errors.BadRequestError`."""
-    found = dict(headers)
-    for name in _SINGLE & found.keys():
+    """Decodes the head of a caller's request.
+
+    Raises:
+      errors.BadRequestError: a header is missing, repeated or invalid.
+    """
+    by_name = dict(headers)
+    for name in _SINGLE_VALUED & by_name.keys():
       if sum(1 for header, _ in headers if header == name) > 1:
         raise errors.BadRequestError(f"{name.decode()} is given twice")
-    if not found.get(_REQUEST_ID):
+    if not by_name.get(_REQUEST_ID):
       raise errors.BadRequestError("no request id")
-    deadline_ms = _number(found.get(_DEADLINE_MS), "deadline")
-    last_event = _number(found.get(_LAST_EVENT), "last event id")
+    deadline_ms = _parse_number(by_name.get(_DEADLINE_MS), "deadline")
+    last_event = _parse_number(by_name.get(_LAST_EVENT_ID), "last event id")
     path = target.decode("latin-1").partition("?")[0]
     return messages.Request(
-        id=found[_REQUEST_ID].decode("latin-1"),
+        id=by_name[_REQUEST_ID].decode("latin-1"),
         method=method,
         target=target,
-        authority=_authority(found.get(b"host", b"")),
+        authority=_parse_authority(by_name.get(b"host", b"")),
         path=path,
-        api_key=found.get(_API_KEY, b"").decode("latin-1"),
+        api_key=by_name.get(_CREDENTIAL, b"").decode("latin-1"),
         patience_s=None if deadline_ms is None else deadline_ms / 1000,
-        usage=_usage(found.get(_USAGE)),
-        parts=_parts(found.get(_PARTS)),
+        usage=_parse_usage(by_name.get(_TOKEN_USAGE)),
+        parts=_parse_prompt_parts(by_name.get(_PROMPT_PREFIX)),
         last_event=None if last_event is None else int(last_event),
-        headers=_passed_on(headers, _OURS),
+        headers=_forwardable(headers, _ROUTER_ONLY),
     )
 
   def encode_request(
@@ -168,40 +177,40 @@
     headers = [
         *request.headers,
         (_DEADLINE_MS, b"%d" % left_ms),
-        (_ENDPOINT, send.endpoint.encode()),
+        (_EXPECT_INSTANCE, send.endpoint.encode()),
     ]
     if send.team:
-      headers.append((_TEAM, send.team.encode()))
+      headers.append((_TENANT, send.team.encode()))
     if request.usage is not None:
-      headers.append((_PRIORITY, b"%d" % min(9, max(0, send.priority))))
+      headers.append((_REQUEST_PRIORITY, b"%d" % min(9, max(0, send.priority))))
     if send.last_event is not None:
-      headers.append((_LAST_EVENT, b"%d" % send.last_event))
+      headers.append((_LAST_EVENT_ID, b"%d" % send.last_event))
     return headers
 
   def decode_answer(
       self, status: int, headers: list[messages.Header]
   ) -> messages.Answer:
-    """Returns the head of an endpoint's answer."""
-    found = dict(headers)
-    content = found.get(b"content-type", b"")
+    """Decodes the head of an endpoint's answer."""
+    by_name = dict(headers)
+    content = by_name.get(b"content-type", b"")
     return messages.Answer(
         status=status,
-        request_id=found.get(_REQUEST_ID, b"").decode("latin-1"),
-        signed=_SIGNATURE in found,
-        not_run=_NOT_RUN in found,
-        misdirected=status == _MISDIRECTED,
-        encoded=b"content-encoding" in found,
+        request_id=by_name.get(_REQUEST_ID, b"").decode("latin-1"),
+        signed=_RESPONSE_SIGNATURE in by_name,
+        not_run=_NOT_EXECUTED in by_name,
+        misdirected=status == _MISDIRECTED_REQUEST,
+        encoded=b"content-encoding" in by_name,
         events=content.startswith(b"text/event-stream"),
-        load=_load(found.get(_LOAD)),
-        idle_s=_idle_s(found.get(b"keep-alive", b"")),
-        last_use=b"close" in _listed(headers),
-        headers=_passed_on(headers, frozenset((_LOAD,))),
+        load=_parse_load(by_name.get(_SERVER_LOAD)),
+        idle_s=_parse_idle_timeout_s(by_name.get(b"keep-alive", b"")),
+        last_use=b"close" in _connection_options(headers),
+        headers=_forwardable(headers, frozenset((_SERVER_LOAD,))),
     )
 
   def encode_refusal(
       self, request_id: str, retry_after_s: float | None
   ) -> list[messages.Header]:
-    """Returns the headers of an answer of the router's own."""
+    """Returns the headers of an answer that the router itself generates."""
     headers = []
     if request_id:
       headers.append((_REQUEST_ID, request_id.encode("latin-1")))
@@ -210,23 +219,23 @@
     return headers
 
 
-def _authority(value: bytes) -> str:
+def _parse_authority(value: bytes) -> str:
   host = urllib.parse.urlsplit(f"//{value.decode('latin-1')}").hostname
   return host or ""
 
 
-def _load(value: bytes | None) -> messages.Load | None:
+def _parse_load(value: bytes | None) -> messages.Load | None:
   if value is None:
     return None
   fields = value.split(b",")
-  if len(fields) != _HEAD_FIELDS or not all(
+  if len(fields) != _LOAD_FIELDS or not all(
       f.strip().isdigit() for f in fields
   ):
     return None
   return messages.Load(*(int(field) for field in fields))
 
 
-def _idle_s(value: bytes) -> float | None:
+def _parse_idle_timeout_s(value: bytes) -> float | None:
   for item in value.split(b","):
     name, _, number = item.strip().partition(b"=")
     if name.lower() == b"timeout" and number.isdigit():
--- a/mustardfall/platform/process_settings.py
+++ b/mustardfall/platform/process_settings.py
@@ -1,7 +1,7 @@
-"""The platform's settings file of a process, decoded into `settings`.
+"""Decodes the settings file that the platform gives to each process.
 
-What the router cannot do without must make sense, or the file is refused.
-Anything else that makes no sense is logged and has its default.
+A file in which a required field is missing or invalid is rejected. An invalid
+optional field is logged and gets its default.
 """
 
 import json
@@ -21,64 +21,64 @@
 SETTINGS_VARIABLE = "MUSTARDFALL_SETTINGS"
 """Environment variable with the path of the platform's settings file."""
 
-_RETRY_SAFETY = 0.75
-"""Part of the allowed retry ratio that is used: the platform counts in
-sliding windows, and a burst may straddle two."""
+_RETRY_MARGIN = 0.75
+"""Fraction of the allowed retries that is used: the platform counts them in
+sliding windows, and a burst may span two of them."""
 
-_Amount = Annotated[float, pydantic.Field(ge=0, allow_inf_nan=False)]
+_NonNegativeFloat = Annotated[float, pydantic.Field(ge=0, allow_inf_nan=False)]
 _Port = Annotated[int, pydantic.Field(ge=0, le=65_535)]
 
 
-class _Part(pydantic.BaseModel):
+class _JsonModel(pydantic.BaseModel):
   model_config = pydantic.ConfigDict(extra="ignore", strict=True)
 
 
-class _Listen(_Part):
+class _Listen(_JsonModel):
   """Addresses, each `HOST:PORT`."""
 
   front: str
   ready: str
   control: str
-  """Where other routers call."""
+  """For calls of other routers."""
 
 
-class _Store(_Part):
+class _Platform(_JsonModel):
   address: str
 
 
-class _Whole(_Part):
-  """What a router cannot do without."""
+class _Required(_JsonModel):
+  """Fields that a router requires."""
 
   node: str
   zone: str
   listen: _Listen
-  platform: _Store
+  platform: _Platform
 
 
-class _Lesser(_Part):
-  """What has a default."""
+class _Optional(_JsonModel):
+  """Fields with a default."""
 
   region: str = "default"
   bootstrap: bool = False
   port_range: Annotated[list[_Port], pydantic.Field(min_length=1)] = [0]
 
 
-class _Bounds(_Part):
-  retry_ratio: _Amount = 0.2
-  retry_slack: _Amount = 0.0
+class _Bounds(_JsonModel):
+  retry_ratio: _NonNegativeFloat = 0.2
+  retry_slack: _NonNegativeFloat = 0.0
   grace_s: Annotated[float, pydantic.Field(gt=0, le=3600)] = 8.0
 
 
-class _Limits(_Part):
+class _Limits(_JsonModel):
   memory_mb: Annotated[int, pydantic.Field(ge=0)] = 0
   max_fds: Annotated[int, pydantic.Field(ge=0)] = 0
 
 
-_Model = TypeVar("_Model", bound=_Part)
+_Model = TypeVar("_Model", bound=_JsonModel)
 
 
 class ProcessSettings(NamedTuple):
-  """What the platform tells one process."""
+  """Settings of one process, decoded from the platform's file."""
 
   router: settings.Router
   store_address: str
@@ -87,98 +87,116 @@
   """Seconds between SIGTERM and SIGKILL."""
 
 
-def _listen(address: str) -> dict[str, Any]:
+def _parse_address(address: str) -> dict[str, Any]:
   host, _, port = address.rpartition(":")
   return {"host": host, "port": int(port)}
 
 
-def _merge(base: dict[str, Any], over: dict[str, Any]) -> dict[str, Any]:
+def _merge(base: dict[str, Any], overrides: dict[str, Any]) -> dict[str, Any]:
   merged = dict(base)
-  for key, value in over.items():
-    both = isinstance(value, dict) and isinstance(merged.get(key), dict)
-    merged[key] = _merge(merged[key], value) if both else value
+  for key, value in overrides.items():
+    nested = isinstance(value, dict) and isinstance(merged.get(key), dict)
+    merged[key] = _merge(merged[key], value) if nested else value
   return merged
 
 
-def load(path: str, own: str | None) -> ProcessSettings:
+def load(path: str, own_path: str | None) -> ProcessSettings:
   """Reads the platform's file and the router's own settings.
 
   Args:
     path: the platform's JSON file.
-    own: a YAML file with any keys of `settings.Router`, or None.
+    own_path: a YAML file with any keys of `settings.Router`, or None. They
+      override what follows from the platform's file.
 
   Raises:
-    errors.SettingsError: a file is unreadable or a key is wrong.
+    errors.SettingsError: a file is unreadable, a required field of the
+      platform's file is missing or invalid, or a key of the other is.
   """
   try:
     text = pathlib.Path(path).read_text(encoding="utf-8")
-    given = json.loads(text)
-    tuned = {}
-    if own is not None:
-      tuned = yaml.safe_load(pathlib.Path(own).read_text(encoding="utf-8"))
+    platform_fields = json.loads(text)
+    own_settings = {}
+    if own_path is not None:
+      own_settings = yaml.safe_load(
+          pathlib.Path(own_path).read_text(encoding="utf-8")
+      )
   except (OSError, ValueError, RecursionError, yaml.YAMLError) as exc:
     raise errors.SettingsError(f"{path}: {exc!r}") from exc
-  if not isinstance(tuned or {}, dict):
-    raise errors.SettingsError(f"{own}: not a table")
-  return decode(given, tuned or {})
+  if not isinstance(own_settings or {}, dict):
+    raise errors.SettingsError(f"{own_path}: not a YAML mapping")
+  return decode(platform_fields, own_settings or {})
 
 
-def _decode_lesser(model: type[_Model], given: Any, name: str) -> _Model:
-  """Decodes what has defaults; what makes no sense is left out and logged."""
-  if given is not None and not isinstance(given, dict):
+def _decode_optional(model: type[_Model], raw: Any, name: str) -> _Model:
+  """Decodes fields with defaults; logs the invalid ones and leaves them out."""
+  if raw is not None and not isinstance(raw, dict):
     logger.warning("settings field unreadable", extra={"field": name})
-  fields = given if isinstance(given, dict) else {}
+  fields = raw if isinstance(raw, dict) else {}
   fields = {key: value for key, value in fields.items() if value is not None}
   try:
     return model.model_validate(fields)
   except pydantic.ValidationError as exc:
-    wrong = {str(error["loc"][0]) for error in exc.errors()}
+    invalid = {str(error["loc"][0]) for error in exc.errors()}
   logger.warning(
       "settings field unreadable",
-      extra={"field": name, "parts": sorted(wrong)},
+      extra={"field": name, "parts": sorted(invalid)},
   )
-  kept = {key: value for key, value in fields.items() if key not in wrong}
-  return model.model_validate(kept)
+  valid = {key: value for key, value in fields.items() if key not in invalid}
+  return model.model_validate(valid)
 
 
-def decode(given: Any, tuned: dict[str, Any]) -> ProcessSettings:
-  """Decodes the platform's fields; `tuned` goes over what follows from them.
+def decode(
+    platform_fields: Any, own_settings: dict[str, Any]
+) -> ProcessSettings:
+  """Derives the settings of a process from the platform's fields.
+
+  Args:
+    platform_fields: the content of the platform's file.
+    own_settings: keys of `settings.Router` that override the derived ones.
 
   Raises:
-    errors.SettingsError: they do not say who the router is, where it listens
-      or where the store is, or a key of `tuned` is wrong.
+    errors.SettingsError: a required field is missing or invalid, or a key of
+      `own_settings` is invalid.
   """
   try:
-    whole = _Whole.model_validate(given)
-    listen = settings.parse(_listen(whole.listen.front), settings.Listen)
-    control = settings.parse(_listen(whole.listen.control), settings.Listen)
-    ready = settings.parse(_listen(whole.listen.ready), settings.Listen)
+    required = _Required.model_validate(platform_fields)
+    listen = settings.parse(
+        _parse_address(required.listen.front), settings.Listen
+    )
+    control = settings.parse(
+        _parse_address(required.listen.control), settings.Listen
+    )
+    ready = settings.parse(
+        _parse_address(required.listen.ready), settings.Listen
+    )
   except ValueError as exc:
-    raise errors.SettingsError(f"platform's settings: {exc}") from exc
-  lesser = _decode_lesser(_Lesser, given, "")
-  bounds = _decode_lesser(_Bounds, given.get("bounds"), "bounds")
-  limits = _decode_lesser(_Limits, given.get("limits"), "limits")
-  store = whole.platform.address
+    raise errors.SettingsError(
+        f"platform's settings file: required field is invalid: {exc}"
+    ) from exc
+  optional = _decode_optional(_Optional, platform_fields, "")
+  bounds = _decode_optional(_Bounds, platform_fields.get("bounds"), "bounds")
+  limits = _decode_optional(_Limits, platform_fields.get("limits"), "limits")
+  store = required.platform.address
   derived = {
-      "name": whole.node,
-      "datacentre": whole.zone,
-      "region": lesser.region,
+      "name": required.node,
+      "datacentre": required.zone,
+      "region": optional.region,
       "listen": listen.model_dump(),
       "peer_listen": control.model_dump(),
-      "first_start": lesser.bootstrap,
-      "load_port": lesser.port_range[0],
+      "first_start": optional.bootstrap,
+      "load_port": optional.port_range[0],
       "kv_url": f"http://{store}",
       "hosts_url": f"http://{store}",
       "limits": {"memory_mb": limits.memory_mb, "files": limits.max_fds},
       "proxy": {
-          "retry_ratio": bounds.retry_ratio * _RETRY_SAFETY,
+          "retry_ratio": bounds.retry_ratio * _RETRY_MARGIN,
           "retry_burst": bounds.retry_slack
-          * _RETRY_SAFETY
+          * _RETRY_MARGIN
           / members_lib.CLOSE_FLEET,
       },
   }
   return ProcessSettings(
-      router=settings.parse(_merge(derived, tuned), settings.Router),
+      router=settings.parse(_merge(derived, own_settings), settings.Router),
       store_address=store,
       ready=ready,
       grace_s=bounds.grace_s,
--- a/mustardfall/platform/program.py
+++ b/mustardfall/platform/program.py
@@ -1,4 +1,4 @@
-"""The program that runs a router on the users' platform."""
+"""Command that runs one router on the users' platform."""
 
 import logging
 import os
@@ -20,14 +20,15 @@
 
 logger = logging.getLogger(__name__)
 
-_STOP_SHARE = 0.95
-"""Done by this part of the time after which the platform kills the process.
-With what is kept for handing budgets back, callers get 0.86 of that time: the
-platform cuts off without blame only what lasts past five sixths of it."""
+_STOP_FRACTION = 0.95
+"""Fraction of the platform's grace period (SIGTERM to SIGKILL) in which the
+router stops. Less the time reserved for returning budgets, requests in flight
+get 0.86 of the grace period: the platform counts an interrupted request as the
+router's failure unless it lasts past five sixths of that period."""
 
-_RELOAD_S = 0.5
-"""Between two looks at a settings file that makes no sense."""
-_HEARD = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
+_RETRY_INTERVAL_S = 0.5
+"""Time between two reads of an invalid settings file at start."""
+_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 
 
 async def _watch_signals(
@@ -37,20 +38,22 @@
     *,
     task_status: abc.TaskStatus[None] = anyio.TASK_STATUS_IGNORED,
 ) -> None:
-  """Stops at SIGTERM; checks the settings anew at SIGHUP."""
-  with anyio.open_signal_receiver(*_HEARD) as signals:
+  """Sets `stop` at SIGTERM and SIGINT; validates the settings at SIGHUP."""
+  with anyio.open_signal_receiver(*_SIGNALS) as signals:
     task_status.started()
     async for signum in signals:
       if signum == signal.SIGHUP:
-        _check_settings(path, own)
+        _validate_settings(path, own)
       else:
         stop.set()
 
 
-def _check_settings(path: str, own: str | None) -> None:
+def _validate_settings(path: str, own: str | None) -> None:
   try:
     process_settings.load(path, own)
-    logger.info("settings reloaded", extra={"path": path})
+    logger.info(
+        "settings valid, in force after a restart", extra={"path": path}
+    )
   except errors.SettingsError as exc:
     logger.error("settings rejected", extra={"error": str(exc)})
 
@@ -59,46 +62,49 @@
   stop = anyio.Event()
   async with anyio.create_task_group() as tg:
     await tg.start(_watch_signals, stop, own, path)
-    await _serve(await _load(path, own), stop)
-    # Ends while signals are still heard. Later their defaults are back, and
-    # one more of them would turn a stop in order into a crash.
+    await _serve(await _load_settings(path, own), stop)
+    # Exits while the signal handlers are installed. Once they are removed,
+    # another SIGTERM or SIGHUP would kill the process by its default action,
+    # which looks like a crash.
     logging.shutdown()
     os._exit(0)
 
 
-async def _load(path: str, own: str | None) -> process_settings.ProcessSettings:
-  """Returns the settings, as soon as they make sense.
+async def _load_settings(
+    path: str, own: str | None
+) -> process_settings.ProcessSettings:
+  """Returns the settings; retries until the files are valid.
 
-  The file may be read while it is being written. Ending would only have the
-  process started again, to read the same file.
+  A file may be read while it is being written. If the process exited instead,
+  it would be restarted only to read the same file.
   """
-  rejected = ""
+  last_error = ""
   while True:
     try:
       return process_settings.load(path, own)
     except errors.SettingsError as exc:
-      if str(exc) != rejected:
-        rejected = str(exc)
-        logger.error("settings rejected", extra={"error": rejected})
-    await anyio.sleep(_RELOAD_S)
+      if str(exc) != last_error:
+        last_error = str(exc)
+        logger.error("settings rejected", extra={"error": last_error})
+    await anyio.sleep(_RETRY_INTERVAL_S)
 
 
 async def _serve(
-    site: process_settings.ProcessSettings, stop: anyio.Event
+    config: process_settings.ProcessSettings, stop: anyio.Event
 ) -> None:
   clock = clock_lib.SystemClock()
   gateway = gateway_lib.Gateway(
-      site.router,
+      config.router,
       clock,
       headers.Dialect(),
-      lambda caller: store.Store(site.store_address, caller, clock),
+      lambda caller: store.Store(config.store_address, caller, clock),
   )
   followers = followers_lib.Followers(gateway, gateway.kv, gateway.clock)
   await gateway.run(
       followers.loops(),
-      site.ready,
+      config.ready,
       stop,
-      site.grace_s * _STOP_SHARE,
+      config.grace_s * _STOP_FRACTION,
   )
 
 
