--- a/mustardfall/__init__.py
+++ b/mustardfall/__init__.py
@@ -2,4 +2,4 @@
 
 __version__ = "0.1.0"
 
-from mustardfall.util import clock as _clock  # noqa: F401  read at once
+from mustardfall.util import clock as _clock  # noqa: F401  reads the start time
--- a/mustardfall/daemons/__init__.py
+++ b/mustardfall/daemons/__init__.py
@@ -1,1 +1,1 @@
-"""Thin entry points: each builds its role from settings and serves it."""
+"""Entry points of the daemons: each builds its application and serves it."""
--- a/mustardfall/daemons/router.py
+++ b/mustardfall/daemons/router.py
@@ -1,4 +1,4 @@
-"""The router daemon: serves its APIs, runs its loops, drains on SIGTERM."""
+"""The router daemon: serves its APIs, runs its loops, drains at SIGTERM."""
 
 import anyio
 
@@ -8,53 +8,57 @@
 from mustardfall.api import public
 from mustardfall.util import serving
 
-_PEER_DRAIN_S = 2.0
-"""Seconds that other routers' calls may take at the very end."""
+_PEER_DRAIN_TIMEOUT_S = 2.0
+"""Maximum time for calls of other routers to finish once all else is done."""
 
 
 async def run(config: settings.Router) -> None:
-  """Serves one router until SIGTERM, then hands its allotments back.
+  """Serves one router until SIGTERM, then returns its allotments.
 
-  On SIGTERM the router first says that it is not ready and serves on for
-  `lame_duck_s`, until the balancer has noticed. Then new connections are
-  refused and requests in flight get `drain_s` to finish. Allotments go
-  back after that, with the routers' own port and the loops still up,
-  since both are needed for it.
+  At SIGTERM the router reports that it is not ready, but keeps serving for
+  `lame_duck_s`, so that the load balancer detects it. Then it refuses new
+  connections, and requests in flight get `drain_s` to finish. After that the
+  allotments are returned, for which the port for other routers and the loops
+  are still needed.
   """
   router = router_lib.Router(config)
-  signalled, drained, ended = anyio.Event(), anyio.Event(), anyio.Event()
+  stop_requested, stop_public, stop_peer = (
+      anyio.Event(),
+      anyio.Event(),
+      anyio.Event(),
+  )
 
   def _on_signal() -> None:
     router.begin_stop()
-    signalled.set()
+    stop_requested.set()
 
   async def _lame_duck() -> None:
-    await signalled.wait()
+    await stop_requested.wait()
     await anyio.sleep(config.lame_duck_s)
-    drained.set()
-
-  async with anyio.create_task_group() as loops:
-    loops.start_soon(serving.watch_signals, _on_signal)
-    loops.start_soon(_lame_duck)
-    loops.start_soon(router.run)
-    async with anyio.create_task_group() as peers:
-      peers.start_soon(
+    stop_public.set()
+
+  async with anyio.create_task_group() as background:
+    background.start_soon(serving.watch_signals, _on_signal)
+    background.start_soon(_lame_duck)
+    background.start_soon(router.run)
+    async with anyio.create_task_group() as peer_server:
+      peer_server.start_soon(
           serving.serve_until,
           peer.create_app(router),
           config.peer_listen.host,
           config.peer_listen.port,
-          _PEER_DRAIN_S,
-          ended,
+          _PEER_DRAIN_TIMEOUT_S,
+          stop_peer,
       )
       await serving.serve_until(
           public.create_app(router),
           config.listen.host,
           config.listen.port,
           config.drain_s,
-          drained,
+          stop_public,
       )
       await router.hand_back()
-      ended.set()
+      stop_peer.set()
     await router.finish()
-    loops.cancel_scope.cancel()
+    background.cancel_scope.cancel()
   await router.close()
--- a/mustardfall/metrics.py
+++ b/mustardfall/metrics.py
@@ -1,8 +1,8 @@
-"""OpenTelemetry instruments of a router, with per-customer, per-class views.
+"""OpenTelemetry instruments of a router.
 
-Histograms carry the attributes `customer` and `class`, so that time to
-first token and tokens per request can be read for each tenant and
-class. The in-memory reader serves them at `GET /admin/metrics`.
+Histograms carry the attributes `customer` and `class`, so that time to first
+token and tokens per request are reported for each customer and class. They are
+read with an in-memory reader and served at `GET /admin/metrics`.
 """
 
 from collections.abc import Mapping
@@ -12,8 +12,9 @@
 from opentelemetry.sdk import metrics as sdk_metrics
 from opentelemetry.sdk.metrics import export as sdk_export
 
-_SECONDS = (0.02, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 0.8, 1.2, 2, 5, 10)
-"""Bounds around the callers' objectives (0.15 to 0.82 s) and deadlines."""
+_LATENCY_BUCKETS_S = (0.02, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 0.8, 1.2, 2, 5, 10)
+"""Upper bounds of the histogram buckets, chosen to cover the callers' latency
+objectives (0.15 to 0.82 s) and their deadlines."""
 
 
 class Instruments:
@@ -29,13 +30,13 @@
         "mustardfall.ttft",
         unit="s",
         description="time to first token",
-        explicit_bucket_boundaries_advisory=_SECONDS,
+        explicit_bucket_boundaries_advisory=_LATENCY_BUCKETS_S,
     )
     self.duration = meter.create_histogram(
         "mustardfall.duration",
         unit="s",
         description="time to the whole answer",
-        explicit_bucket_boundaries_advisory=_SECONDS,
+        explicit_bucket_boundaries_advisory=_LATENCY_BUCKETS_S,
     )
     self.tokens = meter.create_histogram(
         "mustardfall.tokens",
@@ -54,10 +55,17 @@
   def observe_totals(
       self, name: str, unit: str, description: str, totals: Mapping[str, int]
   ) -> None:
-    """Serves running totals that are kept by kind elsewhere.
+    """Exports running totals as a counter with the attribute `kind`.
 
-    For what is counted so often that a counter of its own would cost more
-    than what it counts.
+    For events so frequent that an instrument's `add` would cost more than the
+    event itself: the caller counts them in `totals`, which is read only when
+    the metrics are.
+
+    Args:
+      name: the metric's name.
+      unit: the metric's unit.
+      description: the metric's description.
+      totals: totals by kind; the caller keeps updating it.
     """
 
     def _read(options: api_metrics.CallbackOptions):
@@ -70,12 +78,12 @@
     )
 
   def snapshot(self) -> dict[str, Any]:
-    """Returns the current metric data as JSON-ready dicts."""
+    """Returns the current metric data in the JSON form of OpenTelemetry."""
     data = self._reader.get_metrics_data()
     return data.to_json() if data else "{}"
 
   def render(self) -> str:
-    """Returns the current metric data as Prometheus text."""
+    """Returns the current metric data in the Prometheus text format."""
     data = self._reader.get_metrics_data()
     lines = []
     for resource in data.resource_metrics if data else ():
@@ -89,26 +97,26 @@
     self._provider.shutdown()
 
 
-def _labels(attributes: Mapping[str, Any], **more: str) -> str:
-  pairs = {**attributes, **more}
+def _labels(attributes: Mapping[str, Any], **extra: str) -> str:
+  pairs = {**attributes, **extra}
   inner = ",".join(f'{k.replace(".", "_")}="{v}"' for k, v in pairs.items())
   return f"{{{inner}}}" if inner else ""
 
 
 def _render_metric(metric: sdk_export.Metric) -> list[str]:
-  """Returns a counter's or histogram's lines of text."""
+  """Returns the lines of a counter or histogram in the Prometheus format."""
   name = metric.name.replace(".", "_")
   lines = []
   for point in metric.data.data_points:
     if not isinstance(point, sdk_export.HistogramDataPoint):
       lines.append(f"{name}_total{_labels(point.attributes)} {point.value}")
       continue
-    total = 0
+    cumulative = 0
     bounds = [*(f"{b:g}" for b in point.explicit_bounds), "+Inf"]
     for bound, count in zip(bounds, point.bucket_counts, strict=True):
-      total += count
+      cumulative += count
       labels = _labels(point.attributes, le=bound)
-      lines.append(f"{name}_bucket{labels} {total}")
+      lines.append(f"{name}_bucket{labels} {cumulative}")
     labels = _labels(point.attributes)
     lines.append(f"{name}_sum{labels} {point.sum:g}")
     lines.append(f"{name}_count{labels} {point.count}")
--- a/mustardfall/util/__init__.py
+++ b/mustardfall/util/__init__.py
@@ -1,1 +1,1 @@
-"""Small helpers that know nothing of the domain: clock, logging, serving."""
+"""Helpers independent of the domain: clock, logging, serving, sockets."""
--- a/mustardfall/util/clock.py
+++ b/mustardfall/util/clock.py
@@ -1,4 +1,4 @@
-"""The clock interface, so that time can be faked in tests."""
+"""Clock interface, its system implementation and a fake for tests."""
 
 import datetime
 import time
@@ -6,65 +6,65 @@
 
 
 class Moment(NamedTuple):
-  """A moment on one host's clocks, to be compared with a later one there."""
+  """A reading of one host's clocks, comparable with others of that host."""
 
   boot_s: float
-  """Seconds since the host's boot; suspended time counts."""
+  """Seconds since the host's boot, including time in suspend."""
   wall_s: float
-  """Seconds of the wall clock, which may be stepped."""
+  """Unix seconds of the wall clock, which may be stepped."""
   error_s: float | None = None
-  """How far the wall clock was off most routers' clocks then, at most; None:
-  it was not compared, or was far off."""
+  """Maximum difference from the wall clocks of most routers at that time; None
+  if it was not compared or differed too much."""
 
   @property
   def agreed(self) -> bool:
-    """Whether the wall clock agreed with most routers' then."""
+    """Whether the wall clock agreed with those of most routers."""
     return self.error_s is not None
 
 
 class Clock(Protocol):
-  """What the code needs to know of time."""
+  """Source of time."""
 
   def monotonic(self) -> float:
-    """Returns seconds on a clock that never goes back (rate only)."""
+    """Returns the seconds of a clock that never goes back, with any origin."""
 
   def wall(self) -> datetime.datetime:
-    """Returns the wall-clock time, UTC."""
+    """Returns the wall-clock time in UTC."""
 
   def moment(self) -> Moment:
-    """Returns the present moment, for a later process to compare with."""
+    """Returns the current reading, which later processes can compare with."""
 
   def started(self) -> Moment:
-    """Returns a moment at which this process was already started."""
+    """Returns a reading taken shortly after the start of this process."""
 
 
 class SystemClock:
-  """The machine's clocks."""
+  """The clocks of this host."""
 
   def monotonic(self) -> float:
     """Returns `time.monotonic()`."""
     return time.monotonic()
 
   def wall(self) -> datetime.datetime:
-    """Returns the current UTC time."""
+    """Returns the current time in UTC."""
     return datetime.datetime.now(datetime.UTC)
 
   def moment(self) -> Moment:
-    """Returns the present moment."""
+    """Returns the current reading of the boot clock and the wall clock."""
     return Moment(time.clock_gettime(time.CLOCK_BOOTTIME), time.time())
 
   def started(self) -> Moment:
-    """Returns the moment at which this module was loaded."""
-    return _LOADED
+    """Returns the reading taken when this module was imported."""
+    return _LOADED_AT
 
 
-_LOADED = SystemClock().moment()
-"""Read before anything else is loaded, which takes some 0.4 s: the package
-imports this module first."""
+_LOADED_AT = SystemClock().moment()
+"""The package imports this module first: importing the others takes about
+0.4 s."""
 
 
 class FakeClock:
-  """A clock that moves only when told to; for tests."""
+  """A clock that only `advance` moves; for tests."""
 
   def __init__(self, start: float = 1000.0) -> None:
     self._now = start
@@ -82,7 +82,7 @@
     return Moment(self._now, self._now)
 
   def started(self) -> Moment:
-    """Returns the present moment."""
+    """Returns the current reading."""
     return self.moment()
 
   def advance(self, delta: datetime.timedelta) -> None:
--- a/mustardfall/util/logging.py
+++ b/mustardfall/util/logging.py
@@ -1,8 +1,8 @@
-"""JSON-lines logging set-up shared by every daemon.
+"""Logging as JSON lines, set up in the same way by every daemon.
 
-A line is written for each decision that touches a request or changes what
-the process believes. Writing never blocks: a reader that stops reading
-costs lines, which are counted, and not the requests behind them.
+The daemons log each decision that affects a request or changes their view of
+the system. `BoundedHandler` never blocks: if nobody reads the output, lines are
+dropped and counted, and requests are not delayed.
 """
 
 import logging
@@ -13,38 +13,40 @@
 
 from pythonjsonlogger import json as jsonlogger
 
-_LINES_PER_S = 400
-"""Most lines a second: ten times a host's requests on its heaviest days.
-Past it lines are dropped and counted, so that a log storm does not take
-the processor time that requests need."""
+_MAX_LINES_PER_S = 400
+"""Maximum number of lines per second, ten times the highest request rate of a
+host. Further lines are dropped and counted, so that a burst of log lines does
+not take processor time from requests."""
 
 
 class BoundedHandler(logging.Handler):
-  """Writes lines to a pipe or file without ever waiting for it.
+  """Writes lines to a pipe or file without blocking, at a limited rate.
 
   Args:
-    stream: where the lines go.
-    lines_per_s: most lines a second.
+    stream: the output; its descriptor must be non-blocking.
+    max_lines_per_s: maximum number of lines per second.
   """
 
-  def __init__(self, stream: TextIO, lines_per_s: int = _LINES_PER_S) -> None:
+  def __init__(
+      self, stream: TextIO, max_lines_per_s: int = _MAX_LINES_PER_S
+  ) -> None:
     super().__init__()
     self._fd = stream.fileno()
-    self._lines_per_s = lines_per_s
-    self._second = 0
-    self._lines = 0
+    self._max_lines_per_s = max_lines_per_s
+    self._current_second = 0
+    self._lines_this_second = 0
     self.dropped = 0
-    """Lines not written since the last one that was."""
+    """Number of lines dropped since the last line that was written."""
 
   def emit(self, record: logging.LogRecord) -> None:
-    """Writes the record's line, or counts it as dropped."""
+    """Writes the record as a line, or counts it as dropped."""
     second = int(time.monotonic())
-    if second != self._second:
-      self._second, self._lines = second, 0
-    if self._lines >= self._lines_per_s:
+    if second != self._current_second:
+      self._current_second, self._lines_this_second = second, 0
+    if self._lines_this_second >= self._max_lines_per_s:
       self.dropped += 1
       return
-    self._lines += 1
+    self._lines_this_second += 1
     if self.dropped:
       record.dropped = self.dropped
     try:
@@ -53,17 +55,17 @@
       self.dropped = 0
     except BlockingIOError:
       self.dropped += 1
-    except Exception:  # noqa: BLE001  as logging does: a fault is no reason
+    except Exception:  # noqa: BLE001  no error in logging may reach the caller
       self.handleError(record)
 
 
 def setup(role: str, level: str = "INFO", stream: TextIO | None = None) -> None:
-  """Sends the root logger's records to `stream` as JSON lines.
+  """Makes the root logger write JSON lines to `stream`.
 
   Args:
-    role: the daemon's role, added to every line as `role`.
-    level: a standard logging level name.
-    stream: standard error when None.
+    role: the daemon's role, the field `role` of every line.
+    level: name of a standard logging level.
+    stream: written without blocking; None: standard error, which may block.
   """
   handler: logging.Handler
   if stream is None:
--- a/mustardfall/util/serving.py
+++ b/mustardfall/util/serving.py
@@ -10,11 +10,11 @@
 
 logger = logging.getLogger(__name__)
 
-_KEEP_ALIVE_S = 75
+_KEEP_ALIVE_TIMEOUT_S = 75
 
 
 async def serve_until(
-    app, host: str, port: int, graceful_s: float, stop: anyio.Event
+    app, host: str, port: int, graceful_timeout_s: float, stop: anyio.Event
 ) -> None:
   """Serves `app` on `host:port` until `stop`, then drains it.
 
@@ -22,21 +22,21 @@
     app: an ASGI application.
     host: address to listen on.
     port: TCP port.
-    graceful_s: seconds that requests in flight may take to finish.
-    stop: no more connections are accepted once it is set.
+    graceful_timeout_s: maximum time for requests in flight to finish.
+    stop: when it is set, no more connections are accepted.
   """
   config = hypercorn_config.Config()
   config.bind = [f"{host}:{port}"]
-  config.graceful_timeout = graceful_s
+  config.graceful_timeout = graceful_timeout_s
   config.accesslog = None
   config.errorlog = logger
-  config.keep_alive_timeout = _KEEP_ALIVE_S
+  config.keep_alive_timeout = _KEEP_ALIVE_TIMEOUT_S
 
   async def _serve() -> None:
     await hypercorn_asyncio.serve(app, config, shutdown_trigger=stop.wait)
 
-  # In a task of its own: hypercorn's task groups are asyncio's, and leave
-  # a cancellation count on the task that anyio would take for a cancel.
+  # In a separate task: hypercorn uses asyncio task groups, which leave a
+  # cancellation count on their task that anyio takes for a cancellation.
   async with anyio.create_task_group() as tg:
     tg.start_soon(_serve)
 
@@ -44,30 +44,32 @@
 async def watch_signals(on_signal: Callable[[], None]) -> None:
   """Calls `on_signal` at the first SIGTERM or SIGINT, until cancelled.
 
-  The receiver stays open after the first signal: were it closed, a
-  second SIGTERM (an impatient supervisor's) would kill the process and
-  cut off the streams that the first one let finish. SIGHUP would, too; a
-  daemon's settings are read at its start only, so it changes nothing.
+  The receiver stays open after the first signal. Otherwise a second SIGTERM,
+  for instance of a supervisor, would kill the process and interrupt the
+  streams that may still finish. SIGHUP is received for the same reason and
+  otherwise ignored: a daemon reads its settings only at its start.
   """
-  received = anyio.open_signal_receiver(
+  receiver = anyio.open_signal_receiver(
       signal.SIGTERM, signal.SIGINT, signal.SIGHUP
   )
-  with received as signals:
-    first = True
+  with receiver as signals:
+    is_first = True
     async for signum in signals:
       if signum == signal.SIGHUP:
-        logger.info("settings not read again; restart for that")
+        logger.info("SIGHUP ignored: settings are read only at the start")
         continue
-      logger.info("stopping", extra={"signal": signum, "first": first})
-      if first:
+      logger.info("stopping", extra={"signal": signum, "first": is_first})
+      if is_first:
         on_signal()
-      first = False
+      is_first = False
 
 
-async def serve(app, host: str, port: int, graceful_s: float = 30.0) -> None:
-  """Serves `app` on `host:port` and drains it on SIGTERM."""
+async def serve(
+    app, host: str, port: int, graceful_timeout_s: float = 30.0
+) -> None:
+  """Serves `app` on `host:port`; drains it at SIGTERM or SIGINT."""
   stop = anyio.Event()
   async with anyio.create_task_group() as tg:
     tg.start_soon(watch_signals, stop.set)
-    await serve_until(app, host, port, graceful_s, stop)
+    await serve_until(app, host, port, graceful_timeout_s, stop)
     tg.cancel_scope.cancel()
--- a/mustardfall/util/sockets.py
+++ b/mustardfall/util/sockets.py
@@ -1,4 +1,4 @@
-"""Connections that notice a silent peer, and ports that are waited for."""
+"""TCP connections that detect a silent peer, and ports bound with retries."""
 
 from collections.abc import Awaitable, Callable
 import logging
@@ -11,25 +11,26 @@
 
 logger = logging.getLogger(__name__)
 
-_BACKLOG = 512
-_OPEN_AGAIN_S = 1.0
-"""Between two tries to open a port that is taken."""
-_USER_TIMEOUT_MS = 1_500
-"""Sent bytes unacknowledged for this long end the connection. A host that
-loses power or is cut off answers nothing at all, and the kernel's default
-waits for many minutes; within a data centre region an acknowledgement
-takes milliseconds, so this leaves room for several lost packets."""
+_LISTEN_BACKLOG = 512
+_BIND_RETRY_INTERVAL_S = 1.0
+"""Time between two attempts to bind a port."""
+_TCP_USER_TIMEOUT_MS = 1_500
+"""Time after which a connection with unacknowledged bytes is closed. A host
+that loses power or its network answers nothing, and by default the kernel waits
+for many minutes. Within a region an acknowledgement takes milliseconds, so
+that this allows for several lost packets."""
 _KEEPALIVE_IDLE_S = 1
 _KEEPALIVE_INTERVAL_S = 1
 _KEEPALIVE_PROBES = 2
-"""With the two above: a silent connection that only waits ends in 3 s."""
+"""With the two values above, an idle connection to a silent peer is closed
+after 3 s."""
 
-_OPTIONS = (
+_SOCKET_OPTIONS = (
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _KEEPALIVE_IDLE_S),
     (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, _KEEPALIVE_INTERVAL_S),
     (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _KEEPALIVE_PROBES),
-    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _USER_TIMEOUT_MS),
+    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _TCP_USER_TIMEOUT_MS),
 )
 
 
@@ -37,46 +38,48 @@
 
 
 async def bind_with_retry(
-    what: str, port: int, create: Callable[[], Awaitable[_Opened]]
+    purpose: str, port: int, bind: Callable[[], Awaitable[_Opened]]
 ) -> _Opened:
-  """Opens a port as soon as it can be had.
+  """Binds a port, retrying as long as that fails.
 
-  The process before may still hold it, or another program that was there
-  first. Ending would only have the process started again, to find the same.
+  The previous process or another program may hold the port. If this process
+  exited instead, it would be restarted only to find the same.
 
   Args:
-    what: what the port serves, for the log.
-    port: its number.
-    create: opens it; raises OSError while it can't.
+    purpose: what the port is for; logged.
+    port: the port number; logged.
+    bind: binds the port; raises OSError on failure.
   """
-  refused = ""
+  last_error = ""
   while True:
     try:
-      return await create()
+      return await bind()
     except OSError as exc:
-      if str(exc) != refused:
-        refused = str(exc)
+      if str(exc) != last_error:
+        last_error = str(exc)
         logger.error(
             "port not open",
-            extra={"serves": what, "port": port, "error": refused},
+            extra={"serves": purpose, "port": port, "error": last_error},
         )
-    await anyio.sleep(_OPEN_AGAIN_S)
+    await anyio.sleep(_BIND_RETRY_INTERVAL_S)
 
 
-async def listen(what: str, host: str, port: int) -> list[abc.SocketListener]:
-  """Returns listeners for a TCP port; see `open_port`."""
+async def listen(
+    purpose: str, host: str, port: int
+) -> list[abc.SocketListener]:
+  """Returns listeners for a TCP port; see `bind_with_retry`."""
 
-  async def _create() -> list[abc.SocketListener]:
-    found = await anyio.create_tcp_listener(
-        local_host=host, local_port=port, backlog=_BACKLOG
+  async def _bind() -> list[abc.SocketListener]:
+    multi_listener = await anyio.create_tcp_listener(
+        local_host=host, local_port=port, backlog=_LISTEN_BACKLOG
     )
-    return list(found.listeners)
+    return list(multi_listener.listeners)
 
-  return await bind_with_retry(what, port, _create)
+  return await bind_with_retry(purpose, port, _bind)
 
 
 def split_address(address: str) -> tuple[str, int]:
-  """Returns host and port of `HOST:PORT`."""
+  """Splits `HOST:PORT` into host and port."""
   host, _, port = address.rpartition(":")
   return host, int(port)
 
@@ -85,19 +88,19 @@
   """Opens a connection to `HOST:PORT`.
 
   Raises:
-    OSError: refused, or not answered in time (TimeoutError).
+    OSError: the connection failed; a TimeoutError after `timeout_s`.
   """
   host, port = split_address(address)
   with anyio.fail_after(timeout_s):
     stream = await anyio.connect_tcp(host, port)
-  raw = stream.extra(abc.SocketAttribute.raw_socket)
-  for option in _OPTIONS:
-    raw.setsockopt(*option)
+  sock = stream.extra(abc.SocketAttribute.raw_socket)
+  for option in _SOCKET_OPTIONS:
+    sock.setsockopt(*option)
   return stream
 
 
 def is_refused(exc: BaseException | None) -> bool:
-  """Whether a connection was refused, since nobody listens on its port."""
+  """Whether an error is due to a refused connection (no listener)."""
   while exc is not None:
     if isinstance(exc, ConnectionRefusedError):
       return True
@@ -106,8 +109,8 @@
 
 
 def is_readable(stream: abc.SocketStream) -> bool:
-  """Whether bytes, or the peer's close, wait on an idle connection."""
-  raw = stream.extra(abc.SocketAttribute.raw_socket)
+  """Whether a connection has unread bytes or was closed by the peer."""
+  sock = stream.extra(abc.SocketAttribute.raw_socket)
   poll = select.poll()
-  poll.register(raw.fileno(), select.POLLIN | select.POLLHUP | select.POLLERR)
+  poll.register(sock.fileno(), select.POLLIN | select.POLLHUP | select.POLLERR)
   return bool(poll.poll(0))
--- a/tests/test_logging.py
+++ b/tests/test_logging.py
@@ -25,13 +25,13 @@
   def test_reader_that_stops_reading_costs_lines_not_time(self):
     # Whoever reads standard output hangs. The pipe fills up; the router
     # must go on serving, and say later how many lines are missing.
-    logger, handler, _ = self._logger(lines_per_s=100_000)
+    logger, handler, _ = self._logger(max_lines_per_s=100_000)
     for _ in range(2000):
       logger.info("x" * 100)
     self.assertTrue(handler.dropped > 0)
 
   def test_storm_is_cut_to_the_bound(self):
-    logger, handler, reader = self._logger(lines_per_s=10)
+    logger, handler, reader = self._logger(max_lines_per_s=10)
     for number in range(50):
       logger.info(json.dumps(number))
     lines = os.read(reader, 65_536).splitlines()
