--- a/mustardfall/cli.py
+++ b/mustardfall/cli.py
@@ -1,4 +1,4 @@
-"""The `mustardfall` command: daemons, stand-ins and operator commands."""
+"""The `mustardfall` command: daemons, stand-ins, operator and test commands."""
 
 import json
 import os
@@ -28,9 +28,9 @@
 )
 
 
-def _load(path: str, kind: type):
+def _load(path: str, settings_class: type):
   try:
-    return settings.load(path, kind)
+    return settings.load(path, settings_class)
   except errors.SettingsError as exc:
     raise click.ClickException(str(exc)) from exc
 
@@ -56,13 +56,13 @@
   """Runs a stand-in for one of the platform's systems."""
 
 
-def _standin(name: str, kind: type, module: str) -> None:
+def _standin(name: str, settings_class: type, module: str) -> None:
   @standin.command(name=name)
   @click.option("--config", "path", required=True, type=click.Path(exists=True))
   def _command(path: str) -> None:
     import importlib  # noqa: PLC0415
 
-    config = _load(path, kind)
+    config = _load(path, settings_class)
     log_setup.setup(f"standin:{name}", config.log_level)
     anyio.run(importlib.import_module(module).run, config)
 
@@ -75,17 +75,17 @@
 _standin("service", settings.ServiceStandin, "mustardfall.standins.service")
 
 
-async def _with_kv(kv_url: str, fn):
+async def _call_with_kv(kv_url: str, operation):
   kv = kv_client.Client(kv_url, "operator")
   try:
-    return await fn(kv)
+    return await operation(kv)
   finally:
     await kv.close()
 
 
 @main.group()
 def catalogue() -> None:
-  """Reads and changes the catalogue."""
+  """Shows and changes the catalogue."""
 
 
 @catalogue.command(name="apply")
@@ -93,19 +93,19 @@
 @click.option(
     "--only",
     is_flag=True,
-    help="Leave what the file does not name alone.",
+    help="Keep entries that the file does not name.",
 )
 @_kv_option
 def catalogue_apply(path: str, only: bool, kv_url: str) -> None:
-  """Applies a catalogue file; a lost race is reported, not overwritten."""
+  """Applies a catalogue file; fails if the catalogue was changed meanwhile."""
   with open(path, encoding="utf-8") as f:
     try:
-      spec = model.parse(yaml.safe_load(f), source=path)
+      new_catalogue = model.parse(yaml.safe_load(f), source=path)
     except errors.SettingsError as exc:
       raise click.ClickException(str(exc)) from exc
   try:
     revision = anyio.run(
-        _with_kv, kv_url, lambda kv: store.apply(kv, spec, only)
+        _call_with_kv, kv_url, lambda kv: store.apply(kv, new_catalogue, only)
     )
   except errors.CatalogueRaceLostError as exc:
     raise click.ClickException(
@@ -123,18 +123,18 @@
 @catalogue.command(name="show")
 @_kv_option
 def catalogue_show(kv_url: str) -> None:
-  """Prints the catalogue in force, with its revision as `base`."""
-  revision, spec = anyio.run(_with_kv, kv_url, store.read)
-  if spec is None:
-    raise click.ClickException("no catalogue")
-  data = spec.model_dump(mode="json", by_alias=True)
+  """Prints the current catalogue, with its revision as `base`."""
+  revision, current = anyio.run(_call_with_kv, kv_url, store.read)
+  if current is None:
+    raise click.ClickException(f"no catalogue in the KV at {kv_url}")
+  data = current.model_dump(mode="json", by_alias=True)
   data["base"] = revision
   click.echo(yaml.safe_dump(data, sort_keys=False))
 
 
 @main.group()
 def budget() -> None:
-  """Reads and tops up budgets."""
+  """Shows and tops up budgets."""
 
 
 @budget.command(name="show")
@@ -142,43 +142,50 @@
 @_kv_option
 def budget_show(name: str, kv_url: str) -> None:
   """Prints a budget's ledger and headroom."""
-  found = anyio.run(_with_kv, kv_url, lambda kv: ledger.read(kv, name))
-  if found is None:
+  budget_ledger = anyio.run(
+      _call_with_kv, kv_url, lambda kv: ledger.read(kv, name)
+  )
+  if budget_ledger is None:
     raise click.ClickException(f"no budget {name}")
-  sums = {"headroom": ledger.headroom(found), "lost_sum": ledger.lost(found)}
-  click.echo(json.dumps({**found, **sums}))
+  sums = {
+      "headroom": ledger.headroom(budget_ledger),
+      "lost_sum": ledger.lost(budget_ledger),
+  }
+  click.echo(json.dumps({**budget_ledger, **sums}))
 
 
 @budget.command(name="top-up")
 @click.argument("name")
 @click.argument("tokens", type=click.IntRange(min=1))
 @click.option(
-    "--op", default=None, help="Op id; a retry with the same id is a no-op."
+    "--op",
+    default=None,
+    help="Id of the operation; a retry with the same id has no effect.",
 )
 @_kv_option
 def budget_top_up(name: str, tokens: int, op: str | None, kv_url: str) -> None:
   """Adds TOKENS to budget NAME, exactly once."""
   op = op or f"topup:{uuid.uuid4().hex}"
   try:
-    after = anyio.run(
-        _with_kv,
+    updated = anyio.run(
+        _call_with_kv,
         kv_url,
         lambda kv: ledger.write(kv, name, ledger.TopUp(tokens, op)),
     )
   except (errors.KvUnavailableError, errors.KvUnknownError) as exc:
     raise click.ClickException(
-        f"not known to be applied: {exc}; retry with --op {op}"
+        f"top-up of {name} is not confirmed: {exc}; retry with --op {op}"
     ) from exc
-  if after is None:
+  if updated is None:
     raise click.ClickException(f"no budget {name}")
-  click.echo(json.dumps({"op": op, "limit": after["limit"]}))
+  click.echo(json.dumps({"op": op, "limit": updated["limit"]}))
 
 
 @main.command()
 @click.option("--requests", "count", default=240, show_default=True)
 @click.option("--seed", default=7, show_default=True)
 @click.option(
-    "--keep", is_flag=True, help="Leave the fleet up until Ctrl-C, for trying."
+    "--keep", is_flag=True, help="Keep the fleet running until Ctrl-C."
 )
 def demo(count: int, seed: int, keep: bool) -> None:
   """Starts a small fleet on loopback, drives a mixed load, prints a summary."""
@@ -195,7 +202,7 @@
     "--scenario",
     "names",
     multiple=True,
-    help="Run only these (repeatable); the default is all.",
+    help="Scenario to run (repeatable); all by default.",
 )
 @click.option("--list", "list_only", is_flag=True, help="List scenarios.")
 @click.option("--seconds", default=10.0, show_default=True)
@@ -203,7 +210,7 @@
 @click.option(
     "--slopes",
     default="",
-    help="Also measure the capacity slopes at these router counts (3,12,24).",
+    help="Also measure how costs grow with these router counts (3,12,24).",
 )
 @click.option("--out", default="bench-out", show_default=True)
 def bench(
@@ -214,7 +221,7 @@
     slopes: str,
     out: str,
 ) -> None:
-  """Runs fault and load scenarios on real processes; writes a report."""
+  """Runs fault and load scenarios on real processes and writes a report."""
   from mustardfall.bench import report as report_lib  # noqa: PLC0415
   from mustardfall.bench import scenarios  # noqa: PLC0415
   from mustardfall.bench import slopes as slopes_lib  # noqa: PLC0415
@@ -243,7 +250,7 @@
 
 @main.group()
 def experiment() -> None:
-  """Plays many days in virtual time to compare policies."""
+  """Simulates many days in virtual time to compare policies."""
 
 
 @experiment.command(name="budgets")
@@ -252,13 +259,13 @@
     default="deploy/router.yaml",
     show_default=True,
     type=click.Path(exists=True, path_type=pathlib.Path),
-    help="Settings that every policy starts from.",
+    help="Base settings of every policy.",
 )
 @click.option(
     "--policies",
     multiple=True,
     type=click.Path(exists=True, path_type=pathlib.Path),
-    help="YAML files laid over them, one a policy (repeatable).",
+    help="YAML file that overrides base settings, one per policy (repeatable).",
 )
 @click.option("--seeds", default=200, show_default=True)
 @click.option("--first-seed", default=0, show_default=True)
@@ -266,7 +273,7 @@
     "--days",
     "days_file",
     type=click.Path(exists=True, path_type=pathlib.Path),
-    help="Plays the days of this file, not drawn ones.",
+    help="Simulate the days of this file instead of random ones.",
 )
 @click.option("--workers", default=4, show_default=True)
 @click.option("--report", type=click.Path(path_type=pathlib.Path))
@@ -279,31 +286,31 @@
     workers: int,
     report: pathlib.Path | None,
 ) -> None:
-  """Prints false refusals, lost tokens and store calls per policy."""
+  """Prints wrongly refused requests, lost tokens and KV calls per policy."""
   from mustardfall.bench import experiment as experiment_lib  # noqa: PLC0415
   from mustardfall.bench.virtual import days as days_lib  # noqa: PLC0415
 
   configs = {
       path.stem: experiment_lib.read_policy(deployed, path) for path in policies
   } or {"deployed": experiment_lib.read_policy(deployed, None)}
-  numbers = range(first_seed, first_seed + seeds)
+  seed_range = range(first_seed, first_seed + seeds)
   if days_file is None:
-    played = [(days_lib.draw(seed), seed) for seed in numbers]
+    seeded_days = [(days_lib.draw(seed), seed) for seed in seed_range]
   else:
-    found = days_lib.load(days_file)
-    played = [(day, seed) for seed in numbers for day in found]
+    days = days_lib.load(days_file)
+    seeded_days = [(day, seed) for seed in seed_range for day in days]
   jobs = [
       experiment_lib.Job(name, config, day, seed)
       for name, config in configs.items()
-      for day, seed in played
+      for day, seed in seeded_days
   ]
   results = experiment_lib.run(jobs, workers, lambda _: None)
   if report is not None:
     for path in experiment_lib.write(results, report):
       click.echo(f"written: {path}", err=True)
   click.echo(experiment_lib.to_table(results))
-  if any(one.result.overspend for one in results):
-    raise click.ClickException("a budget was overspent")
+  if any(outcome.result.overspend for outcome in results):
+    raise click.ClickException("at least one simulation overspent a budget")
 
 
 @experiment.command(name="placement")
@@ -312,7 +319,7 @@
     multiple=True,
     default=("hashed", "two", "sampled", "tracked"),
     show_default=True,
-    help="How endpoints are chosen (repeatable).",
+    help="Placement policy to simulate (repeatable).",
 )
 @click.option("--seeds", default=200, show_default=True)
 @click.option("--first-seed", default=0, show_default=True)
@@ -325,19 +332,19 @@
     workers: int,
     report: pathlib.Path | None,
 ) -> None:
-  """Prints worth, late first tokens and messages of a large fleet."""
+  """Simulates a large fleet; prints worth, late first tokens and messages."""
   from mustardfall.bench import placements  # noqa: PLC0415
   from mustardfall.bench.virtual import engines  # noqa: PLC0415
 
   unknown = set(policies) - set(engines.POLICIES)
   if unknown:
     raise click.ClickException(f"no such policy: {', '.join(sorted(unknown))}")
-  numbers = range(first_seed, first_seed + seeds)
-  played = placements.run(list(policies), numbers, workers)
+  seed_range = range(first_seed, first_seed + seeds)
+  results = placements.run(list(policies), seed_range, workers)
   if report is not None:
-    for path in placements.write(played, report):
+    for path in placements.write(results, report):
       click.echo(f"written: {path}", err=True)
-  click.echo(placements.to_table(played))
+  click.echo(placements.to_table(results))
 
 
 if __name__ == "__main__":
--- a/mustardfall/settings.py
+++ b/mustardfall/settings.py
@@ -1,8 +1,8 @@
-"""Settings for each process role, loaded from YAML and checked on load.
+"""Settings of each process role, loaded from YAML and validated on load.
 
-Each role has one model; the whole object is passed to the constructor
-of that role's application object. An unknown or badly typed key stops
-the process at start with an error that names the key.
+Each role has one model, which is passed as a whole to the constructor of the
+role's application object. An unknown or invalid key stops the process at its
+start, with an error that names the key.
 """
 
 import pathlib
@@ -14,175 +14,192 @@
 from mustardfall import errors
 
 
-class _Base(pydantic.BaseModel):
+class _SettingsModel(pydantic.BaseModel):
   model_config = pydantic.ConfigDict(extra="forbid", frozen=True)
 
 
-class Listen(_Base):
-  """Where a daemon accepts connections."""
+class Listen(_SettingsModel):
+  """Address on which a daemon accepts connections."""
 
   host: str = "127.0.0.1"
   port: int = pydantic.Field(ge=0, le=65535)
 
 
-class Allotment(_Base):
-  """How a router sizes the tokens it takes from a budget at once."""
+class Allotment(_SettingsModel):
+  """Sizes of the grants and parts that a router takes from a budget."""
 
   min_tokens: int = pydantic.Field(default=2_000, ge=1)
-  """Smallest grant asked for, tokens."""
+  """Minimum size of a grant that is requested, tokens."""
   horizon_s: float = pydantic.Field(default=5.0, gt=0)
-  """A grant covers this many seconds of the budget's draw here."""
+  """A grant covers this router's draw on the budget for this many seconds."""
   headroom_share: float = pydantic.Field(default=0.25, gt=0, le=1)
   """A grant takes at most this share of the budget's headroom."""
   part_share: float = pydantic.Field(default=0.5, gt=0, le=1)
-  """A part takes at most this share of what the owner has free."""
+  """A part takes at most this share of the owner's free tokens."""
   term_s: float = pydantic.Field(default=10.0, gt=0)
-  """Unused tokens go back to the budget after this many seconds."""
+  """Time after which unused tokens of a grant are returned to the budget."""
   rate_s: float = pydantic.Field(default=3.0, gt=0)
-  """A budget's draw is averaged over so many seconds. Requests are lumps of
-  up to a tenth of a small budget."""
+  """Time over which the draw on a budget is averaged. It has to be averaged
+  since a single request may take up to a tenth of a small budget."""
   share_held: float = pydantic.Field(default=0.5, ge=0, le=1)
-  """All holders together hold this part of what is left of a budget."""
+  """Share of a budget's remaining tokens that all holders together hold at
+  least; each holds an equal part of it."""
   requests_held: float = pydantic.Field(default=2.0, ge=0)
-  """Beside the horizon's draw a holder wants so many requests' tokens."""
+  """A holder aims to hold the tokens of this many average requests, in addition
+  to the draw of `horizon_s`."""
   reports: bool = False
-  """Report what grants have used while they are held."""
+  """Whether the use of grants is reported to the ledger while they are held, so
+  that fewer tokens are written off when a router dies."""
   slack_s: float = pydantic.Field(default=2.0, gt=0)
-  """A report allows for this many seconds of the budget's draw."""
+  """A report allows its holder this many seconds of draw until the next one."""
   request_tokens: int = pydantic.Field(default=8_000, ge=1)
-  """What a request is taken to need until one of its budget was seen here."""
+  """Assumed tokens of a request until this router has served one of the same
+  budget."""
   requests_slack: float = pydantic.Field(default=1.0, ge=0)
-  """Beside that, for so many requests' tokens."""
+  """In addition to `slack_s`, a report allows the tokens of this many average
+  requests."""
   slack_left: float = pydantic.Field(default=0.15, gt=0, le=1)
-  """All holders' reports allow for at most this share of what is left, times
-  the part of the budget that is left. On 30 modelled days 0.10 to 0.20 refused
-  5.4 to 5.8 % of requests falsely, 0.30 refused 6.9 %."""
+  """The reports of all holders together allow at most this share of the
+  remaining tokens, times the fraction of the budget that remains. In a
+  simulation of 30 days, 0.10 to 0.20 led to 5.4 to 5.8 % of requests refused
+  although the budget could cover them, 0.30 to 6.9 %."""
   report_s: float = pydantic.Field(default=1.0, gt=0)
-  """Time between two reports of use, with which all promises are renewed.
-  Each costs a write."""
+  """Time between two reports of use, each of which renews the allowances of all
+  budgets. A report costs a write to the KV."""
   ceiling_grace_s: float = pydantic.Field(default=2.0, ge=0)
-  """What a report allows for must do for so long, seconds."""
+  """Time that the allowance of a report has to last."""
   ceiling_rate: float = pydantic.Field(default=1.5, ge=0)
-  """After that a holder may draw so many times its usual rate."""
+  """After `ceiling_grace_s` a holder may draw at this multiple of its usual
+  rate."""
   low_mark: float = pydantic.Field(default=0.25, ge=0, lt=1)
-  """Refilled in the background when less than this share is free."""
+  """An allotment is refilled in the background when less than this share of it
+  is unused."""
   part_horizon_s: float = pydantic.Field(default=1.0, ge=0)
-  """A part asked of an owner covers this many seconds of the draw; 0: just
-  what the requests at hand need."""
+  """A part requested from an owner covers this many seconds of draw; 0: only
+  the requests that wait for it."""
   part_term_s: float = pydantic.Field(default=1.0, gt=0)
-  """Unused tokens of a part go back to the owner after this."""
+  """Time after which unused tokens of a part are returned to the owner."""
   settle_s: float = pydantic.Field(default=0.5, gt=0)
-  """Time between two rounds in which ended parts go back to owners."""
+  """Time between two rounds in which ended parts are returned to owners."""
   refusal_ttl_s: float = pydantic.Field(default=0.2, gt=0)
-  """A refusal is repeated from memory for this long."""
+  """Time for which a refusal is cached."""
   owned: bool = True
-  """Draw through the budget's owner; false is the bench's baseline."""
+  """Whether tokens are drawn through the budget's owner; false is the baseline
+  of benchmarks."""
   recall_s: float = pydantic.Field(default=0.3, gt=0)
-  """Least time between two recalls of one budget's idle tokens."""
+  """Minimum time between two recalls of a budget's idle tokens."""
 
 
-class Writer(_Base):
-  """How changes are batched into transactions on the KV."""
+class Writer(_SettingsModel):
+  """Batching of changes into transactions of the KV."""
 
   interval_s: float = pydantic.Field(default=0.02, ge=0)
-  """Least time between two transactions."""
+  """Minimum time between two transactions."""
   linger_s: float = pydantic.Field(default=0.5, ge=0)
-  """How long changes that nobody waits for may wait for company."""
+  """Maximum delay of changes that no caller waits for, so that they share a
+  transaction with others."""
   max_keys: int = pydantic.Field(default=48, ge=1, le=128)
-  """Most keys in one transaction (etcd allows 128 operations)."""
+  """Maximum number of keys in a transaction (etcd allows 128 operations)."""
 
 
-class Membership(_Base):
-  """How routers know of each other."""
+class Membership(_SettingsModel):
+  """Registration of routers and calls between them."""
 
   ttl_s: int = pydantic.Field(default=24, ge=2)
-  """Term of a router's lease; it renews after a third of it."""
+  """TTL of a router's lease, which is renewed after a third of it."""
   grace_s: float = pydantic.Field(default=10.0, ge=0)
-  """An absent router counts as gone after this long."""
+  """Time after which an absent router counts as gone."""
   owners: int = pydantic.Field(default=0, ge=0)
-  """How many routers of a region own budgets; 0: all of them."""
+  """Number of routers per region that own budgets; 0: all of them."""
   watch_idle_s: float = pydantic.Field(default=6.0, gt=0)
-  """A watch without a word for this long is opened again."""
+  """Time without a message after which a watch is reopened."""
   clock_quorum: int = pydantic.Field(default=0, ge=0)
-  """Routers whose wall clocks must agree, this one counted, before one is
-  trusted to tell how long a host was without power; 0: none is trusted."""
+  """Number of routers, including this one, whose wall clocks must agree before
+  they are used to determine how long a host was without power; 0: they are
+  never used."""
   peer_timeout_s: float = pydantic.Field(default=0.4, gt=0)
-  """A call to another router is given up after this."""
+  """Timeout of a call to another router."""
 
 
-class Scheduler(_Base):
-  """How requests wait for endpoints, and when they are shed."""
+class Scheduler(_SettingsModel):
+  """Queueing of requests for endpoints, and load shedding."""
 
   policy: str = pydantic.Field(default="class", pattern="^(class|fifo)$")
-  """`class` puts urgent work first; `fifo` is the bench's baseline."""
+  """`class` serves urgent requests first; `fifo` is the baseline of
+  benchmarks."""
   initial_limit: float = pydantic.Field(default=2.0, ge=1)
-  """Requests in flight per endpoint and router, to begin with."""
+  """Initial limit of the requests in flight per endpoint and router."""
   max_limit: float = pydantic.Field(default=64.0, ge=1)
   target_s: float = pydantic.Field(default=0.4, gt=0)
-  """Urgent time to first token that the limit is steered to."""
+  """Target for the time to first token of urgent requests; the limit is adjusted
+  to meet it."""
   urgent_wait_s: float = pydantic.Field(default=0.6, ge=0)
-  """Longest an urgent request waits for an endpoint."""
+  """Maximum time that an urgent request waits for an endpoint."""
   deferrable_wait_s: float = pydantic.Field(default=15.0, ge=0)
-  """Longest a deferrable request waits for an endpoint."""
+  """Maximum time that a deferrable request waits for an endpoint."""
   deferrable_every: int = pydantic.Field(default=4, ge=1)
-  """While both wait, one in this many freed places is deferrable's."""
+  """While requests of both classes wait, one of this many freed places goes to a
+  deferrable one."""
 
 
-class Proxy(_Base):
-  """How callers' requests are sent to endpoints."""
+class Proxy(_SettingsModel):
+  """Forwarding of callers' requests to endpoints."""
 
   reserve_s: float = pydantic.Field(default=0.35, gt=0)
-  """Longest a request waits for tokens of its budget, seconds."""
+  """Maximum time that a request waits for tokens of its budget."""
   retry_ratio: float = pydantic.Field(default=0.15, ge=0)
-  """Second sends per request and service, over time."""
+  """Retries per request and service, averaged over time."""
   retry_burst: float = pydantic.Field(default=4.0, ge=0)
-  """Second sends that may be saved up, per service, in a fleet of up to 12
-  routers; the routers of a larger one save up no more together."""
+  """Maximum number of unused retries that accumulate per service, in a fleet of
+  up to 12 routers. All routers of a larger fleet together accumulate no more
+  than 12 routers do."""
   metrics_port: int = pydantic.Field(default=0, ge=0, le=65535)
-  """TCP port that serves the metrics as text; 0: none."""
+  """TCP port that serves the metrics in the Prometheus format; 0: none."""
 
 
-class Limits(_Base):
-  """What the process may use of its host; 0: as much as there is."""
+class Limits(_SettingsModel):
+  """Resource limits of the process; 0: no limit but the host's."""
 
   memory_mb: int = pydantic.Field(default=0, ge=0)
-  """Memory past which the host ends the process, MB."""
+  """Memory above which the host kills the process, MB."""
   files: int = pydantic.Field(default=0, ge=0)
-  """Descriptors that the process may open."""
+  """Maximum number of open file descriptors."""
 
 
-class Records(_Base):
-  """How long outcomes of calls with an Idempotency-Key are kept."""
+class Records(_SettingsModel):
+  """Retention of the outcomes of calls with an Idempotency-Key."""
 
   keep_s: int = pydantic.Field(default=86_400, ge=60)
-  """A retry later than this is taken for a new call."""
+  """Retention time; a later retry is handled as a new call."""
 
 
-class Router(_Base):
-  """The entry-host daemon: admits, bills and routes requests."""
+class Router(_SettingsModel):
+  """Settings of a router, which admits, bills and routes requests."""
 
   name: str = pydantic.Field(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]*$")
   datacentre: str
   region: str = "default"
   listen: Listen
   peer_listen: Listen
-  """Where other routers reach this one; not for callers."""
+  """Address for calls of other routers; callers must not reach it."""
   first_start: bool = False
-  """Whether the whole deployment starts for the first time: engines have
-  nothing in their caches then."""
+  """Whether the whole deployment starts for the first time, so that the caches
+  of the engines are empty."""
   load_port: int = pydantic.Field(default=0, ge=0, le=65535)
-  """UDP port, the same on all routers, for telling each other what they
-  have at the endpoints; 0: they do not."""
+  """UDP port, the same on all routers, on which they exchange the load that each
+  puts on the endpoints; 0: they do not."""
   kv_url: str
   hosts_url: str
   tick_s: float = pydantic.Field(default=0.5, gt=0)
-  """Seconds between runs of the systems over the tables."""
+  """Time between two passes of the periodic work over the tables of budgets and
+  endpoints."""
   drain_s: float = pydantic.Field(default=30.0, ge=0)
-  """Seconds that requests in flight may take after SIGTERM."""
+  """Maximum time for requests in flight to finish after the lame-duck time."""
   lame_duck_s: float = pydantic.Field(default=1.0, ge=0)
-  """After SIGTERM, still serving but not ready, so the balancer leaves."""
+  """Time after SIGTERM in which the router still serves but reports that it is
+  not ready, so that the load balancer stops sending requests."""
   orders_s: float = pydantic.Field(default=1.0, gt=0)
-  """Seconds between two looks at what engines have loaded."""
+  """Time between two checks of the models that engines have loaded."""
   kv_timeout_s: float = pydantic.Field(default=2.0, gt=0)
   default_max_tokens: int = pydantic.Field(default=256, ge=1)
   retry_after_s: float = pydantic.Field(default=2.0, gt=0)
@@ -196,15 +213,15 @@
   log_level: str = "INFO"
 
 
-class KvStandin(_Base):
-  """The stand-in for the platform's key-value service."""
+class KvStandin(_SettingsModel):
+  """Settings of the stand-in for the platform's key-value service."""
 
   listen: Listen
   log_level: str = "INFO"
 
 
-class HostEntry(_Base):
-  """One endpoint as the host list shows it."""
+class HostEntry(_SettingsModel):
+  """An endpoint in the host list."""
 
   name: str
   url: str
@@ -214,18 +231,18 @@
   state: str = pydantic.Field(default="live", pattern="^(live|leaving)$")
 
 
-class HostsStandin(_Base):
-  """The stand-in for the platform's host list."""
+class HostsStandin(_SettingsModel):
+  """Settings of the stand-in for the platform's host list."""
 
   listen: Listen
   lag_s: float = pydantic.Field(default=1.0, ge=0)
-  """Seconds before a change shows in the list."""
+  """Time until a change appears in the list."""
   hosts: list[HostEntry] = []
   log_level: str = "INFO"
 
 
-class EngineStandin(_Base):
-  """The stand-in for an OpenAI-compatible model engine."""
+class EngineStandin(_SettingsModel):
+  """Settings of the stand-in for an OpenAI-compatible model engine."""
 
   name: str
   datacentre: str
@@ -234,15 +251,15 @@
   tokens_per_s: float = pydantic.Field(default=400.0, gt=0)
   first_token_s: float = pydantic.Field(default=0.02, ge=0)
   slots: int = pydantic.Field(default=16, ge=1)
-  """Requests decoded at once; the rest wait in priority order."""
+  """Maximum number of requests decoded at once; others wait by priority."""
   load_lag_s: float = pydantic.Field(default=1.0, ge=0)
   honours_fencing: bool = True
-  """Whether orders with an old fencing token are refused."""
+  """Whether orders with an outdated fencing token are refused."""
   log_level: str = "INFO"
 
 
-class ServiceStandin(_Base):
-  """The stand-in for a plain, non-idempotent service (bookings)."""
+class ServiceStandin(_SettingsModel):
+  """Settings of the stand-in for a plain, non-idempotent service (bookings)."""
 
   name: str
   datacentre: str
@@ -255,14 +272,14 @@
 
 
 def load(path: str | pathlib.Path, model: type[_Model]) -> _Model:
-  """Reads a YAML settings file and checks it against `model`.
+  """Reads a YAML settings file and validates it against `model`.
 
   Args:
     path: the YAML file.
     model: the settings class of the role.
 
   Returns:
-    The checked settings object.
+    The validated settings object.
 
   Raises:
     errors.SettingsError: the file is unreadable, not YAML, or a key is
@@ -277,7 +294,7 @@
 
 
 def parse(data: object, model: type[_Model], source: str = "<data>") -> _Model:
-  """Checks already-loaded settings; see `load` for errors."""
+  """Validates settings that were already loaded; raises like `load`."""
   try:
     return model.model_validate(data)
   except pydantic.ValidationError as exc:
@@ -289,5 +306,5 @@
 
 
 def dump(settings: pydantic.BaseModel) -> str:
-  """Returns `settings` as YAML text that `load` reads back."""
+  """Returns `settings` as YAML that `load` can read."""
   return yaml.safe_dump(settings.model_dump(mode="json"), sort_keys=False)
