--- a/tests/configs.py
+++ b/tests/configs.py
@@ -1,10 +1,10 @@
-"""Settings that tests build routers from."""
+"""Settings of routers under test."""
 
 from mustardfall import settings
 
 
 def router(**overrides) -> settings.Router:
-  """Returns settings of a router that reaches nothing."""
+  """Returns settings of a router whose KV and host list are unreachable."""
   listen = settings.Listen(port=0)
   fields = {
       "name": "r",
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -1,4 +1,4 @@
-"""The deployed program starts where nothing but its own packages is there."""
+"""The build of the deployment, and its program in a clean environment."""
 
 import importlib.util
 import json
@@ -14,27 +14,27 @@
 import testtools
 
 _ROOT = pathlib.Path(__file__).parent.parent
-_BUILD_S = 300
-_DRIVE_S = 60
+_BUILD_TIMEOUT_S = 300
+_RUN_TIMEOUT_S = 60
 
 
 class DeployTest(testtools.TestCase):
 
-  def test_program_serves_with_only_what_the_build_installs(self):
-    # Every process ended at once and callers reached nothing: a module of
-    # the data path imported a package that the build does not install. On
-    # a developer's machine it is there besides, so no test noticed. Here
-    # the router's interpreter has nothing but the build's own packages.
+  def test_program_serves_with_only_the_packages_that_the_build_installs(self):
+    # Guards against a module of the data path that imports a package which
+    # the build does not install: every process exits at once. A developer's
+    # machine has that package, so the router's interpreter here has only the
+    # packages of the build.
     with tempfile.TemporaryDirectory() as folder:
-      home = pathlib.Path(folder)
-      sources = home / "sources"
+      work_dir = pathlib.Path(folder)
+      sources = work_dir / "sources"
       shutil.copytree(_ROOT / "mustardfall", sources / "mustardfall")
       shutil.copytree(_ROOT / "deploy", sources / "deploy")
-      venv.create(home / "python", with_pip=True)
-      path = f"{home / 'python' / 'bin'}:{os.environ['PATH']}"
-      env = {"PATH": path, "HOME": str(home)}
+      venv.create(work_dir / "python", with_pip=True)
+      path = f"{work_dir / 'python' / 'bin'}:{os.environ['PATH']}"
+      env = {"PATH": path, "HOME": str(work_dir)}
       deploy = tomllib.loads((sources / "deploy/system.toml").read_text())
-      self._run(deploy["build"], sources, env, _BUILD_S, shell=True)
+      self._run(deploy["build"], sources, env, _BUILD_TIMEOUT_S, shell=True)
       self._check_compiled(sources / "mustardfall")
       command = [sys.executable, "-m", "mustardfall.emulator"]
       command += [
@@ -44,12 +44,12 @@
           deploy["roles"]["router"]["run"],
       ]
       env["PYTHONPATH"] = str(sources / "target" / "deps")
-      output = self._run(command, sources, env, _DRIVE_S)
+      output = self._run(command, sources, env, _RUN_TIMEOUT_S)
     summary = json.loads(output.splitlines()[-1])
     self.assertEqual({"200": 4}, summary["statuses"])
 
   def _check_compiled(self, package):
-    """Guards against processes that compile the program at each start."""
+    """Guards against processes that compile the modules at each start."""
     missing = [
         source
         for source in package.rglob("*.py")
@@ -59,15 +59,16 @@
     ]
     self.assertEqual([], missing)
 
-  def test_build_that_was_cut_is_made_anew(self):
-    # No process started: a build was cut while it moved packages into place,
-    # and the next one found the folder newer than the list and passed over
-    # it. The installer is a stand-in that is cut at its first run.
+  def test_interrupted_build_is_repeated(self):
+    # Guards against a deployment without packages: a build is interrupted
+    # while it installs them, and the next build skips the installation since
+    # the folder is newer than the list of packages. The installer here is a
+    # fake that fails on its first run.
     with tempfile.TemporaryDirectory() as folder:
-      home = pathlib.Path(folder)
-      shutil.copytree(_ROOT / "deploy", home / "deploy")
-      (home / "bin").mkdir()
-      installer = home / "bin" / "python3"
+      work_dir = pathlib.Path(folder)
+      shutil.copytree(_ROOT / "deploy", work_dir / "deploy")
+      (work_dir / "bin").mkdir()
+      installer = work_dir / "bin" / "python3"
       installer.write_text(
           "#!/bin/sh\n"
           '[ "$2" = pip ] || exit 0\n'
@@ -78,26 +79,26 @@
           'touch "$2/whole"\n'
       )
       installer.chmod(0o755)
-      deploy = tomllib.loads((home / "deploy/system.toml").read_text())
-      env = {"PATH": f"{home / 'bin'}:{os.environ['PATH']}"}
-      codes = [
+      deploy = tomllib.loads((work_dir / "deploy/system.toml").read_text())
+      env = {"PATH": f"{work_dir / 'bin'}:{os.environ['PATH']}"}
+      exit_codes = [
           subprocess.run(
-              deploy["build"], cwd=home, env=env, shell=True, check=False
+              deploy["build"], cwd=work_dir, env=env, shell=True, check=False
           ).returncode
           for _ in range(3)
       ]
-      runs = (home / "runs").read_text().splitlines()
-      self.assertEqual([True, False, False], [code != 0 for code in codes])
-      self.assertTrue((home / "target/deps/whole").exists())
+      runs = (work_dir / "runs").read_text().splitlines()
+      self.assertEqual([True, False, False], [code != 0 for code in exit_codes])
+      self.assertTrue((work_dir / "target/deps/whole").exists())
       self.assertEqual(2, len(runs))
 
-  def test_every_package_of_the_build_has_one_version(self):
-    # A release of tomorrow must not stop a start that worked today.
+  def test_every_package_of_the_build_is_pinned(self):
+    # Otherwise a new release of a package could break the deployment.
     lines = (_ROOT / "deploy/requirements.txt").read_text().splitlines()
     self.assertEqual([], [line for line in lines if "==" not in line])
 
   def _run(self, command, cwd, env, timeout_s, shell=False) -> str:
-    done = subprocess.run(
+    completed = subprocess.run(
         command,
         cwd=cwd,
         env=env,
@@ -107,5 +108,5 @@
         timeout=timeout_s,
         check=False,
     )
-    self.assertEqual(0, done.returncode, done.stderr)
-    return done.stdout
+    self.assertEqual(0, completed.returncode, completed.stderr)
+    return completed.stdout
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""The settings reference names every settings key."""
+"""The settings reference documents every settings key."""
 
 import pathlib
 
@@ -11,14 +11,18 @@
 
 
 def _keys(model: type[pydantic.BaseModel], prefix: str = "") -> list[str]:
-  out = []
+  keys = []
   for name, field in model.model_fields.items():
-    kind = field.annotation
-    if isinstance(kind, type) and issubclass(kind, pydantic.BaseModel):
-      out.extend(_keys(kind, f"{prefix}{name}.") if name != "listen" else [])
+    field_type = field.annotation
+    if isinstance(field_type, type) and issubclass(
+        field_type, pydantic.BaseModel
+    ):
+      keys.extend(
+          _keys(field_type, f"{prefix}{name}.") if name != "listen" else []
+      )
     else:
-      out.append(prefix + name)
-  return out
+      keys.append(prefix + name)
+  return keys
 
 
 class SettingsPageTest(testtools.TestCase):
--- a/tests/test_logging.py
+++ b/tests/test_logging.py
@@ -1,4 +1,4 @@
-"""Log lines are bounded, and never wait for their reader."""
+"""Log lines are limited in rate and written without blocking."""
 
 import json
 import logging
@@ -22,15 +22,15 @@
     logger.addHandler(handler)
     return logger, handler, reader
 
-  def test_reader_that_stops_reading_costs_lines_not_time(self):
-    # Whoever reads standard output hangs. The pipe fills up; the router
-    # must go on serving, and say later how many lines are missing.
+  def test_full_pipe_drops_lines_instead_of_blocking(self):
+    # Guards against a router that blocks because the reader of its output
+    # hangs and the pipe is full. It must keep serving and count the lines.
     logger, handler, _ = self._logger(max_lines_per_s=100_000)
     for _ in range(2000):
       logger.info("x" * 100)
     self.assertTrue(handler.dropped > 0)
 
-  def test_storm_is_cut_to_the_bound(self):
+  def test_lines_beyond_the_rate_limit_are_dropped(self):
     logger, handler, reader = self._logger(max_lines_per_s=10)
     for number in range(50):
       logger.info(json.dumps(number))
--- a/tests/test_platform_headers.py
+++ b/tests/test_platform_headers.py
@@ -1,4 +1,4 @@
-"""The platform's headers, decoded and encoded."""
+"""Decoding and encoding of the platform's headers."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -11,8 +11,8 @@
 _BASE = [(b"host", b"Shop.example:80"), (b"request-id", b"r1")]
 
 
-def _decode(*more):
-  return headers.Dialect().decode_request(b"POST", b"/a/b?c", [*_BASE, *more])
+def _decode(*extra):
+  return headers.Dialect().decode_request(b"POST", b"/a/b?c", [*_BASE, *extra])
 
 
 class RequestTest(testtools.TestCase):
@@ -34,7 +34,7 @@
     self.assertEqual([("5c1e", 800), ("91bd", 410)], list(request.parts))
     self.assertEqual(("key", 12), (request.api_key, request.last_event))
 
-  def test_headers_of_one_connection_stay_there(self):
+  def test_hop_by_hop_headers_are_not_forwarded(self):
     request = _decode(
         (b"connection", b"x-mine, model, keep-alive"),
         (b"x-mine", b"1"),
@@ -45,7 +45,7 @@
     names = {name for name, _ in request.headers}
     self.assertEqual({b"host", b"request-id", b"model", b"x-other"}, names)
 
-  def test_what_makes_no_sense_is_refused(self):
+  def test_invalid_values_are_rejected(self):
     for name, value in (
         (b"deadline-ms", b"soon"),
         (b"deadline-ms", b"nan"),
@@ -58,7 +58,7 @@
       self.assertRaises(errors.BadRequestError, _decode, (name, value))
 
   @given(st.floats(0.001, 100), st.integers(0, 20), st.none() | st.integers(0))
-  def test_what_is_sent_on(self, left_s, priority, last):
+  def test_forwarded_headers(self, left_s, priority, last):
     request = _decode((b"token-usage", b"10,20"), (b"tenant", b"forged"))
     send = messages.Send("i-1", "acme", left_s, priority, last)
     sent = dict(headers.Dialect().encode_request(request, send))
@@ -70,17 +70,17 @@
 
 class AnswerTest(testtools.TestCase):
 
-  def _decode(self, status=200, *more):
-    return headers.Dialect().decode_answer(status, [*more])
+  def _decode(self, status=200, *extra):
+    return headers.Dialect().decode_answer(status, [*extra])
 
-  def test_not_run_needs_the_servers_word(self):
-    # A 503 without it may have run; taken for a refusal, a booking could
-    # be made twice.
+  def test_not_run_only_if_the_server_says_so(self):
+    # A request answered with 503 but without this header may have run. If it
+    # counted as not run, it would be repeated and a booking made twice.
     self.assertFalse(self._decode(503).not_run)
     self.assertTrue(self._decode(503, (b"not-executed", b"1")).not_run)
     self.assertTrue(self._decode(421).misdirected)
 
-  def test_load_and_idle_time(self):
+  def test_load_and_connection_headers(self):
     answer = self._decode(
         200, (b"server-load", b"3,1,8"), (b"keep-alive", b"timeout=5, max=9")
     )
--- a/tests/test_platform_names.py
+++ b/tests/test_platform_names.py
@@ -1,4 +1,4 @@
-"""The platform's wire names stand in its adapter only."""
+"""The platform's wire names occur only in its adapter and in fakes of it."""
 
 import pathlib
 import re
@@ -6,8 +6,8 @@
 import testtools
 
 _ROOT = pathlib.Path(__file__).parent.parent / "mustardfall"
-_ALLOWED = ("platform", "emulator", "standins")
-_NAMES = re.compile(
+_ALLOWED_PACKAGES = ("platform", "emulator", "standins")
+_WIRE_NAMES = re.compile(
     r"response-signature|not-executed|/-/|prompt-prefix|token-usage"
     r"|expect-instance|op/config|servers/|server-load|request-priority"
     r"|kv-from|kv-backup|set_keys|store_revision|slo_ms|api_keys\"",
@@ -17,17 +17,17 @@
 
 class NamesTest(testtools.TestCase):
 
-  def test_no_wire_name_outside_the_adapter(self):
+  def test_wire_names_occur_only_in_the_adapter(self):
     found = []
     for path in _ROOT.rglob("*.py"):
-      if path.relative_to(_ROOT).parts[0] in _ALLOWED:
+      if path.relative_to(_ROOT).parts[0] in _ALLOWED_PACKAGES:
         continue
       for number, line in enumerate(path.read_text().splitlines(), 1):
-        if _NAMES.search(line):
+        if _WIRE_NAMES.search(line):
           found.append(f"{path.name}:{number}: {line.strip()}")
     self.assertEqual([], found)
 
-  def test_the_adapter_is_imported_by_nothing_else(self):
+  def test_only_allowed_packages_import_the_adapter(self):
     for path in _ROOT.rglob("*.py"):
-      if path.relative_to(_ROOT).parts[0] not in _ALLOWED:
+      if path.relative_to(_ROOT).parts[0] not in _ALLOWED_PACKAGES:
         self.assertNotIn("mustardfall.platform", path.read_text(), path)
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -1,4 +1,4 @@
-"""The client of the platform's store, against the emulated one."""
+"""The client of the platform's store, against an emulated store."""
 
 import json
 
@@ -17,11 +17,11 @@
 from mustardfall.util import clock as clock_lib
 
 
-def in_store(test):
+def with_store(test):
   """Runs a test method with an emulated store and a client of it."""
 
   def run(self):
-    async def go():
+    async def run_with_store():
       clock = clock_lib.SystemClock()
       server = emulated.Store(clock)
       port = fleet.free_port()
@@ -36,13 +36,13 @@
           await test(self, server, client)
           tg.cancel_scope.cancel()
 
-    anyio.run(go)
+    anyio.run(run_with_store)
 
   run.__name__ = test.__name__
   return run
 
 
-async def _raised(call, *args):
+async def _error_type(call, *args):
   try:
     await call(*args)
   except (errors.KvUnavailableError, errors.KvUnknownError) as exc:
@@ -52,7 +52,7 @@
 
 class StoreTest(testtools.TestCase):
 
-  @in_store
+  @with_store
   async def test_compare_and_swap(self, server, client):
     absent = [protocol.Compare("k", "VERSION", 0)]
     first = await client.txn(absent, [protocol.Put("k", b"1")])
@@ -66,8 +66,8 @@
     self.assertEqual(b"3", (await client.get("k")).value)
     self.assertIsNone(await client.get("none"))
 
-  @in_store
-  async def test_many_keys_are_read_with_one_call(self, server, client):
+  @with_store
+  async def test_get_many_reads_32_keys_per_call(self, server, client):
     for number in range(0, 40, 2):
       server.put(f"budget/{number:02}", {"n": number})
     revision, calls = server.revision, client.calls
@@ -79,15 +79,15 @@
     self.assertEqual(3, client.calls - calls)
     self.assertEqual(revision, server.revision)
 
-  @in_store
-  async def test_all_pages_are_read(self, server, client):
+  @with_store
+  async def test_get_prefix_reads_all_pages(self, server, client):
     for number in range(120):
       server.put(f"p/{number:03}", {})
     _, records = await client.get_prefix("p/")
     self.assertEqual(120, len(records))
 
-  @in_store
-  async def test_watch_goes_on_from_a_read_and_says_when_it_cannot(
+  @with_store
+  async def test_watch_continues_after_a_read_and_fails_once_compacted(
       self, server, client
   ):
     revision, _ = await client.get_prefix("w/")
@@ -101,41 +101,43 @@
     self.assertEqual(("w/a", True), seen[-1])
     server.forget_history()
 
-    async def _next():
+    async def next_event():
       async for _ in client.watch("w/", revision + 1, 0.2):
         return
 
-    self.assertIs(errors.KvUnavailableError, await _raised(_next))
+    self.assertIs(errors.KvUnavailableError, await _error_type(next_event))
 
-  @in_store
-  async def test_lost_answer_is_not_a_failed_write(self, server, client):
-    # The store does the write and its answer is lost: the caller must not
-    # take it for undone.
+  @with_store
+  async def test_lost_response_leaves_the_outcome_of_a_write_unknown(
+      self, server, client
+  ):
+    # The store executes the write, but the response is lost. The caller must
+    # not assume that the write had no effect.
     server.faults.lose_answers = 1
     put = [protocol.Put("k", b"1")]
-    self.assertIs(errors.KvUnknownError, await _raised(client.txn, [], put))
+    self.assertIs(errors.KvUnknownError, await _error_type(client.txn, [], put))
     self.assertEqual(b"1", (await client.get("k")).value)
 
-  @in_store
-  async def test_store_that_is_away_is_not_waited_for_again(
+  @with_store
+  async def test_calls_fail_fast_while_the_store_is_unreachable(
       self, server, client
   ):
-    # The store is silent. Two calls wait for it; then calls that requests
-    # wait for fail at once, until a follower hears from it again.
+    # The store does not respond. After two timeouts, calls on behalf of
+    # requests fail immediately, until a call of a follower succeeds.
     server.faults.down = "silent"
     for _ in range(2):
-      await _raised(client.get, "k")
+      await _error_type(client.get, "k")
     with anyio.fail_after(0.1):
-      raised = await _raised(client.txn, [], [protocol.Put("k", b"1")])
-    self.assertIs(errors.KvUnavailableError, raised)
+      error = await _error_type(client.txn, [], [protocol.Put("k", b"1")])
+    self.assertIs(errors.KvUnavailableError, error)
     self.assertFalse(client.reachable)
     server.faults.down = ""
     await client.get_prefix("x/")
     self.assertTrue(client.reachable)
-    self.assertIsNone(await _raised(client.put, "k", b"1"))
+    self.assertIsNone(await _error_type(client.put, "k", b"1"))
 
-  @in_store
-  async def test_lease_ends_and_takes_its_keys(self, server, client):
+  @with_store
+  async def test_revoked_lease_deletes_its_keys(self, server, client):
     lease = await client.grant_lease(1)
     await client.put("m/a", b"1", lease)
     self.assertTrue(await client.keep_alive(lease) >= 1)
@@ -143,5 +145,5 @@
     self.assertIsNone(await client.get("m/a"))
     self.assertEqual(0, await client.keep_alive(lease))
     put = [protocol.Put("m/a", b"1", lease)]
-    raised = await _raised(client.txn, [], put)
-    self.assertIs(errors.KvUnavailableError, raised)
+    error = await _error_type(client.txn, [], put)
+    self.assertIs(errors.KvUnavailableError, error)
--- a/tests/test_server_entries.py
+++ b/tests/test_server_entries.py
@@ -1,4 +1,4 @@
-"""Lists of servers and configurations with parts that make no sense."""
+"""Server lists and configurations with invalid parts."""
 
 import json
 
@@ -17,7 +17,7 @@
 from mustardfall.routing import directory
 from mustardfall.util import clock as clock_lib
 
-ENTRY = {
+_ENTRY = {
     "service": "pool",
     "address": "10.0.0.1:80",
     "zone": "dc",
@@ -38,7 +38,7 @@
     | strategies.dictionaries(strategies.text(max_size=4), inner, max_size=3),
     max_leaves=6,
 )
-_OTHER_TYPES = {
+_INVALID_VALUES = {
     "service": strategies.sampled_from([None, 3, ["pool"], {}]),
     "address": strategies.sampled_from(
         [None, 80, "", "10.0.0.1", "10.0.0.1:x", "10.0.0.1:99999", ["a"]]
@@ -54,24 +54,24 @@
 
 
 @strategies.composite
-def _bad_entries(draw) -> bytes:
-  """Returns an entry that names no server: bytes, JSON or a field wrong."""
-  way = draw(strategies.sampled_from(["bytes", "json", "type", "missing"]))
-  if way == "bytes":
+def _invalid_entries(draw) -> bytes:
+  """Returns an invalid entry: no text, another JSON value, or a wrong field."""
+  defect = draw(strategies.sampled_from(["bytes", "json", "type", "missing"]))
+  if defect == "bytes":
     return draw(strategies.binary(max_size=40)) + b"\xff"
-  if way == "json":
+  if defect == "json":
     return json.dumps(draw(_JSON)).encode()
-  field = draw(strategies.sampled_from(sorted(_OTHER_TYPES)))
-  entry = dict(ENTRY)
-  if way == "type" or field == "born":
-    entry[field] = draw(_OTHER_TYPES[field])
+  field = draw(strategies.sampled_from(sorted(_INVALID_VALUES)))
+  entry = dict(_ENTRY)
+  if defect == "type" or field == "born":
+    entry[field] = draw(_INVALID_VALUES[field])
   else:
     del entry[field]
   return json.dumps(entry).encode()
 
 
 class _Store:
-  """Answers reads of the list with what a test has put there."""
+  """Fake store that holds the entries which a test has written."""
 
   def __init__(self) -> None:
     self.entries: dict[str, bytes] = {}
@@ -79,8 +79,8 @@
 
   def write(self, name: str, raw: bytes | dict) -> None:
     self.revision += 1
-    text = json.dumps(raw).encode() if isinstance(raw, dict) else raw
-    self.entries[name] = text
+    encoded = json.dumps(raw).encode() if isinstance(raw, dict) else raw
+    self.entries[name] = encoded
 
   async def get_prefix(self, prefix):
     records = [
@@ -91,14 +91,14 @@
 
 
 class _Relay:
-  """Others, who know nothing."""
+  """Fake relay: no other router has a copy of any document."""
 
   async def fetch(self, name):
     del name
 
 
 class _Notices:
-  """Nobody tells anything."""
+  """Fake notices: none ever arrives."""
 
   tells = False
 
@@ -129,7 +129,7 @@
     self.directory.take_endpoints(hosts)
 
 
-class _World:
+class _Fixture:
 
   def __init__(self) -> None:
     self.store = _Store()
@@ -139,95 +139,95 @@
     )
 
   def read(self) -> list[str]:
-    """Reads the list once; returns the servers that may get work."""
+    """Reads the list once; returns the servers that may get requests."""
     anyio.run(self.followers.servers.read)
     fitting = self.gateway.directory.endpoints.fitting("pool", "")
     return sorted(row.name for row in fitting)
 
 
-class BadEntryTest(testtools.TestCase):
+class InvalidEntryTest(testtools.TestCase):
 
-  @hypothesis.given(raw=_bad_entries())
+  @hypothesis.given(raw=_invalid_entries())
   @hypothesis.settings(max_examples=300, deadline=None)
-  def test_entry_of_another_writer_hides_no_other(self, raw):
-    # Requests kept going to a server that had left, and new ones got none:
-    # one entry of another writer could not be read, and with it the whole
-    # list. It names no server; what the others say is taken in.
-    world = _World()
-    world.store.write("a", ENTRY)
-    world.store.write("bad", raw)
-    world.store.write("z", ENTRY | {"address": "10.0.0.2:80"})
-    self.assertEqual(["a", "z"], world.read())
-    world.store.write("a", ENTRY | {"state": "draining"})
-    world.store.write("y", ENTRY | {"address": "10.0.0.3:80"})
-    self.assertEqual(["y", "z"], world.read())
-
-  @hypothesis.given(raw=_bad_entries())
+  def test_invalid_entry_does_not_hide_others(self, raw):
+    # Guards against one invalid entry that makes the whole list unreadable:
+    # requests would go on to servers that have left, and new servers would
+    # get none.
+    fixture = _Fixture()
+    fixture.store.write("a", _ENTRY)
+    fixture.store.write("bad", raw)
+    fixture.store.write("z", _ENTRY | {"address": "10.0.0.2:80"})
+    self.assertEqual(["a", "z"], fixture.read())
+    fixture.store.write("a", _ENTRY | {"state": "draining"})
+    fixture.store.write("y", _ENTRY | {"address": "10.0.0.3:80"})
+    self.assertEqual(["y", "z"], fixture.read())
+
+  @hypothesis.given(raw=_invalid_entries())
   @hypothesis.settings(max_examples=100, deadline=None)
-  def test_server_whose_entry_is_overwritten_gets_no_work_until_mended(
-      self, raw
-  ):
-    world = _World()
-    world.store.write("a", ENTRY)
-    self.assertEqual(["a"], world.read())
-    world.store.write("a", raw)
-    self.assertEqual([], world.read())
-    world.store.write("a", ENTRY)
-    self.assertEqual(["a"], world.read())
-
-  def test_nested_deeper_than_a_parser_goes(self):
-    world = _World()
-    world.store.write("a", ENTRY)
-    world.store.write("bad", b"[" * 100_000)
-    self.assertEqual(["a"], world.read())
-
-  def test_id_that_no_header_can_carry(self):
-    world = _World()
-    world.store.write("a", ENTRY)
-    world.store.write("b\r\nTenant: x", ENTRY)
-    self.assertEqual(["a"], world.read())
-
-  def test_service_that_no_route_names_gets_no_work(self):
-    world = _World()
-    world.store.write("a", ENTRY)
-    world.store.write("b", ENTRY | {"service": "other"})
-    self.assertEqual(["a"], world.read())
-
-
-class StartedAgainTest(testtools.TestCase):
-
-  def test_all_that_was_learnt_is_of_the_life_before(self):
-    # Long prompts waited: a server crashed, started again under its id, and
-    # was still taken to hold the prefixes that it was sent before, to have
-    # requests in flight, and to be as slow as it was.
-    world = _World()
-    world.store.write("a", ENTRY)
-    world.read()
-    table = world.gateway.directory.endpoints
+  def test_server_with_overwritten_entry_gets_no_work_until_repaired(self, raw):
+    fixture = _Fixture()
+    fixture.store.write("a", _ENTRY)
+    self.assertEqual(["a"], fixture.read())
+    fixture.store.write("a", raw)
+    self.assertEqual([], fixture.read())
+    fixture.store.write("a", _ENTRY)
+    self.assertEqual(["a"], fixture.read())
+
+  def test_entry_nested_too_deeply_for_the_parser(self):
+    fixture = _Fixture()
+    fixture.store.write("a", _ENTRY)
+    fixture.store.write("bad", b"[" * 100_000)
+    self.assertEqual(["a"], fixture.read())
+
+  def test_id_that_is_no_valid_header_value(self):
+    fixture = _Fixture()
+    fixture.store.write("a", _ENTRY)
+    fixture.store.write("b\r\nTenant: x", _ENTRY)
+    self.assertEqual(["a"], fixture.read())
+
+  def test_servers_of_other_services_are_not_eligible(self):
+    fixture = _Fixture()
+    fixture.store.write("a", _ENTRY)
+    fixture.store.write("b", _ENTRY | {"service": "other"})
+    self.assertEqual(["a"], fixture.read())
+
+
+class RestartTest(testtools.TestCase):
+
+  def test_restarted_server_loses_its_learned_state(self):
+    # Guards against prefixes, requests in flight and slowness of a server that
+    # are kept after it crashed and restarted under the same id, which made
+    # requests with long prompts wait.
+    fixture = _Fixture()
+    fixture.store.write("a", _ENTRY)
+    fixture.read()
+    table = fixture.gateway.directory.endpoints
     old = table.rows["a"]
     table.note_prefix(old.life, "p", 0.0)
     old.in_flight, old.failures, old.slowness, old.running = 3, 2, 4.0, 9.0
-    world.store.write("a", ENTRY | {"born": ENTRY["born"] + 5_000, "seq": 1})
-    world.read()
+    fixture.store.write(
+        "a", _ENTRY | {"born": _ENTRY["born"] + 5_000, "seq": 1}
+    )
+    fixture.read()
     new = table.rows["a"]
-    self.assertEqual(({}, 0, 0, 1.0, 0.0), _learnt(new))
+    self.assertEqual(({}, 0, 0, 1.0, 0.0), _learned_state(new))
     self.assertTrue(new.fresh)
-    # Requests of the life before end on its row; late news are of it, too.
+    # Requests and reports of the previous process still refer to its row.
     old.in_flight -= 1
     table.note_prefix(old.life, "p", 0.0)
-    self.assertEqual(({}, 0, 0, 1.0, 0.0), _learnt(new))
+    self.assertEqual(({}, 0, 0, 1.0, 0.0), _learned_state(new))
 
-  def test_same_life_keeps_what_was_learnt(self):
-    world = _World()
-    world.store.write("a", ENTRY)
-    world.read()
-    row = world.gateway.directory.endpoints.rows["a"]
-    world.store.write("a", ENTRY | {"seq": 5})
-    world.read()
-    self.assertIs(row, world.gateway.directory.endpoints.rows["a"])
+  def test_running_server_keeps_its_learned_state(self):
+    fixture = _Fixture()
+    fixture.store.write("a", _ENTRY)
+    fixture.read()
+    row = fixture.gateway.directory.endpoints.rows["a"]
+    fixture.store.write("a", _ENTRY | {"seq": 5})
+    fixture.read()
+    self.assertIs(row, fixture.gateway.directory.endpoints.rows["a"])
 
 
-def _learnt(row):
+def _learned_state(row):
   return row.prefixes, row.in_flight, row.failures, row.slowness, row.running
 
 
@@ -248,26 +248,30 @@
     return documents.ConfigurationDecoder().decode(document)
 
   @hypothesis.given(bad=_JSON)
-  def test_part_that_makes_no_sense_hides_no_other(self, bad):
-    # Every request got 404 or an old version's answer: one part of a new
-    # configuration could not be read, and none of it was put in force.
+  def test_invalid_part_does_not_hide_others(self, bad):
+    # Guards against one invalid part that keeps a whole new configuration from
+    # coming into force: requests got 404 or were routed by the old version.
     team = {"name": "acme", "api_keys": ["k"], "prepaid": 10}
-    found = self._decode(
-        routes=[bad, _ROUTE, _ROUTE | {"prefix": bad, "timeout_ms": bad}],
+    decoded = self._decode(
+        routes=[
+            bad,
+            _ROUTE,
+            _ROUTE | {"prefix": bad, "timeout_ms": bad},
+        ],
         services=[bad, {"name": "pool", "max_conns": 5}],
         tenants=[bad, team],
         limits=bad,
     )
-    self.assertEqual("r", found.match("shop.example", "/a/b").name)
-    self.assertEqual({"pool"}, set(found.services))
-    self.assertEqual("acme", found.team_of("k").name)
+    self.assertEqual("r", decoded.match("shop.example", "/a/b").name)
+    self.assertEqual({"pool"}, set(decoded.services))
+    self.assertEqual("acme", decoded.team_of("k").name)
 
-  def test_document_that_is_none_is_refused(self):
+  def test_invalid_document_is_rejected(self):
     decoder = documents.ConfigurationDecoder()
     for document in ({}, [], None, {"version": "3"}, {"version": 3}):
       self.assertRaises(ValueError, decoder.decode, document)
 
-  def test_record_that_is_no_object_is_an_empty_document(self):
+  def test_record_without_a_json_object_gives_an_empty_document(self):
     for raw in (b"", b"\xff", b"[]", b"3", b"[" * 100_000):
       record = protocol.Record("op/config", raw, 1, 0)
       self.assertEqual({}, sources._decode_object(record))
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings files are checked on load and errors name the key."""
+"""Settings files are validated on load, and errors name the key."""
 
 import pathlib
 import tempfile
@@ -12,9 +12,9 @@
 class SettingsTest(testtools.TestCase):
 
   def _write(self, text: str) -> pathlib.Path:
-    tmp = tempfile.TemporaryDirectory()
-    self.addCleanup(tmp.cleanup)
-    path = pathlib.Path(tmp.name) / "s.yaml"
+    folder = tempfile.TemporaryDirectory()
+    self.addCleanup(folder.cleanup)
+    path = pathlib.Path(folder.name) / "s.yaml"
     path.write_text(text)
     return path
 
@@ -25,7 +25,7 @@
     )
     self.assertIn("bogus", str(exc))
 
-  def test_bad_nested_value_is_named_with_its_path(self):
+  def test_invalid_nested_value_is_named_with_its_path(self):
     path = self._write(
         "name: r\ndatacentre: d\nlisten: {port: 1}\nkv_url: u\n"
         "hosts_url: h\nallotment: {term_s: -1}\n"
