--- a/mustardfall/platform/followers.py
+++ b/mustardfall/platform/followers.py
@@ -91,6 +91,7 @@
         await self._back_off()
 
   def _max_silence_s(self) -> float:
+    """Returns the time without a notice after which this router reads."""
     return self._notices.patience_s(self._source.max_silence_s)
 
   def _must_read(self) -> bool:
--- a/mustardfall/platform/headers.py
+++ b/mustardfall/platform/headers.py
@@ -41,7 +41,7 @@
 """Headers that apply to one connection only. `content-length` is among them
 since the router sets it for each message that it sends."""
 
-_ROUTER_ONLY = frozenset(
+_NOT_FORWARDED = frozenset(
     (
         _DEADLINE_MS,
         _CREDENTIAL,
@@ -57,9 +57,9 @@
         b"kv-fetch",
     )
 )
-"""Headers that are removed from callers' requests: only the router sets them. A
-caller that could set them could act as another team or access the KV cache of
-another request."""
+"""Headers of callers that are not forwarded: endpoints get them from the router
+only. A caller that could set them there could act as another team or access the
+KV cache of another request."""
 
 _NEVER_CONNECTION_OPTIONS = frozenset(
     (_REQUEST_ID, _MODEL, _TOKEN_USAGE, _PROMPT_PREFIX, b"host")
@@ -166,7 +166,7 @@
         usage=_parse_usage(by_name.get(_TOKEN_USAGE)),
         parts=_parse_prompt_parts(by_name.get(_PROMPT_PREFIX)),
         last_event=None if last_event is None else int(last_event),
-        headers=_forwardable(headers, _ROUTER_ONLY),
+        headers=_forwardable(headers, _NOT_FORWARDED),
     )
 
   def encode_request(
--- a/mustardfall/platform/store.py
+++ b/mustardfall/platform/store.py
@@ -352,7 +352,7 @@
     )
     if reply.status == _HISTORY_COMPACTED:
       raise errors.KvUnavailableError(
-          f"watch of {prefix!r}: the changes after revision {after} are compacted"
+          f"watch of {prefix!r}: changes after revision {after} are compacted"
       )
     changes = self._parse(reply, target, _WatchResponse)
     events = [
