--- a/mustardfall/membership/clockcheck.py
+++ b/mustardfall/membership/clockcheck.py
@@ -82,7 +82,7 @@
   @property
   def agrees(self) -> bool:
     """Whether the clock agrees now."""
-    return self.vouch(self._clock.moment()).agreed
+    return self.vouch(self._clock.moment()).wall_clock_agreed
 
   async def wait(self, timeout_s: float) -> None:
     """Waits until the clock has agreed once, or for `timeout_s`."""
--- a/mustardfall/util/clock.py
+++ b/mustardfall/util/clock.py
@@ -17,7 +17,7 @@
   if it was not compared or differed too much."""
 
   @property
-  def agreed(self) -> bool:
+  def wall_clock_agreed(self) -> bool:
     """Whether the wall clock agreed with those of most routers."""
     return self.error_s is not None
 
--- a/tests/test_clockcheck.py
+++ b/tests/test_clockcheck.py
@@ -63,7 +63,7 @@
   def test_clock_that_agrees_with_most_is_vouched_for(self):
     check = self._check(0.0, [0.0, 0.01, -2.4, 0.0])
     self.assertTrue(check.agrees)
-    self.assertTrue(check.vouch(self.clock.moment()).agreed)
+    self.assertTrue(check.vouch(self.clock.moment()).wall_clock_agreed)
 
   def test_stepped_clock_is_not(self):
     self.assertFalse(self._check(-2.4, [0.0, 0.0, 0.0, 0.0]).agrees)
@@ -91,5 +91,5 @@
     before = self.clock.moment()
     self.clock.step_s = 2.4
     self.assertFalse(check.agrees)
-    self.assertTrue(check.vouch(before).agreed)
-    self.assertFalse(check.vouch(self.clock.moment()).agreed)
+    self.assertTrue(check.vouch(before).wall_clock_agreed)
+    self.assertFalse(check.vouch(self.clock.moment()).wall_clock_agreed)
