--- a/mustardfall/budget/reviewing.py
+++ b/mustardfall/budget/reviewing.py
@@ -64,7 +64,7 @@
     self._clock_check = clock_check
     self._renewer = renewer
     self._counts = counts
-    self._started = clock.started()
+    self._started = clock.process_start()
     self._due: set[tuple[str, str]] = set()
     """Later lives of dead routers, and budgets that they are to review."""
     self._event = anyio.Event()
--- a/mustardfall/util/clock.py
+++ b/mustardfall/util/clock.py
@@ -34,7 +34,7 @@
   def moment(self) -> Moment:
     """Returns the current reading, which later processes can compare with."""
 
-  def started(self) -> Moment:
+  def process_start(self) -> Moment:
     """Returns a reading taken shortly after the start of this process."""
 
 
@@ -53,7 +53,7 @@
     """Returns the current reading of the boot clock and the wall clock."""
     return Moment(time.clock_gettime(time.CLOCK_BOOTTIME), time.time())
 
-  def started(self) -> Moment:
+  def process_start(self) -> Moment:
     """Returns the reading taken when this module was imported."""
     return _LOADED_AT
 
@@ -81,7 +81,7 @@
     """Returns the fake time on both clocks."""
     return Moment(self._now, self._now)
 
-  def started(self) -> Moment:
+  def process_start(self) -> Moment:
     """Returns the current reading."""
     return self.moment()
 
