--- a/spec/budget.pml
+++ b/spec/budget.pml
@@ -1,114 +1,138 @@
-/* The budget protocol of mustardfall, small enough to check all runs.
+/* Model of the budget protocol: grants, settlement and write-off. It is small
+ * enough for an exhaustive search.
  *
- * Two routers draw on one budget through grants taken by compare-and-
- * swap; an operator tops the budget up; any reply may be lost after
- * its write took effect; a router may crash and lose what it held.
+ * Two routers draw on one budget through grants that they take by
+ * compare-and-swap (CAS) on the ledger. An operator tops the budget up.
+ * Any reply of the store may be lost after its write took effect. A router
+ * may crash and lose its local state.
  *
- * Checked: what engines generate never exceeds the limit (no
- * overspend), and the ledger never bills more than was generated
- * (billed once). Build with -DNAIVE_RECLAIM to let a lapsed grant be
- * reclaimed while its paused holder still spends, or -DNAIVE_RETRY to
- * retry a settle whose reply was lost without re-reading: each breaks
- * one property, which is the proof that the checks can fail.
+ * Properties: the tokens that engines generate never exceed the limit
+ * (no_overspend), and the ledger never bills more than was generated
+ * (billed_once).
+ *
+ * Each of these flags builds a faulty variant that violates one property,
+ * which shows that the check can fail:
+ *
+ * -DNAIVE_RECLAIM: a grant whose lease expired returns to the budget while
+ *   its holder is only paused and can still spend it (no_overspend).
+ * -DNAIVE_RETRY: a settlement whose reply was lost is sent again without
+ *   checking whether the first one was applied (billed_once).
  */
 
-#define R 2
-#define GRANT 2
-#define TOPUP 1
-#define ROUNDS 2         /* grants per router, so that runs are finite */
+#define ROUTERS 2
+#define GRANT_TOKENS 2
+#define TOPUP_TOKENS 1
+#define MAX_GRANTS 2     /* grants per router; keeps runs finite */
 
 byte limit = 2;
-byte spent = 0;          /* billed, in the ledger */
-byte grant[R];           /* grants held in the ledger, per router */
-byte lost[R];            /* grants written off, still counted */
-short ver = 0;           /* the key's mod revision; it never wraps */
-byte generated = 0;      /* tokens engines generated, all routers */
-bool topped = false;
+byte spent = 0;          /* ledger: tokens billed */
+byte grants[ROUTERS];    /* ledger: tokens granted to each router */
+byte lost[ROUTERS];      /* ledger: grants written off, still counted */
+short revision = 0;      /* the ledger key's mod revision; it never wraps */
+byte generated = 0;      /* tokens generated for all routers */
+bool topup_applied = false;
 
-/* Router-local state */
-byte held[R];
-byte used[R];
+/* Local state of each router */
+byte held[ROUTERS];
+byte used[ROUTERS];
 
-inline headroom(h) {
-  h = limit - spent - grant[0] - grant[1] - lost[0] - lost[1]
+inline headroom(available) {
+  available = limit - spent - grants[0] - grants[1] - lost[0] - lost[1]
 }
 
-proctype Router(byte r) {
-  short v;
-  byte h, size;
-  byte rounds = 0;
-  bool reply_lost, again, reply;
+proctype Router(byte router) {
+  short read_revision;
+  byte available, tokens;
+  byte grants_taken = 0;
+  bool grant_reply_lost, retry, settle_reply_lost;
   bool crashed = false;
   do
-  :: /* take a grant by CAS */
-     held[r] == 0 && grant[r] == 0 && lost[r] == 0 && rounds < ROUNDS ->
-     rounds++;
-     d_step { v = ver; headroom(h) };
-     size = (h < GRANT -> h : GRANT);
+  :: /* take a grant by CAS; the reply may be lost */
+     held[router] == 0 && grants[router] == 0 && lost[router] == 0 &&
+     grants_taken < MAX_GRANTS ->
+     grants_taken++;
+     d_step { read_revision = revision; headroom(available) };
+     tokens = (available < GRANT_TOKENS -> available : GRANT_TOKENS);
      if
-     :: size > 0 ->
-        if :: reply_lost = false :: reply_lost = true fi;
+     :: tokens > 0 ->
+        if :: grant_reply_lost = false :: grant_reply_lost = true fi;
         d_step {
           if
-          :: ver == v -> grant[r] = size; ver++
-          :: else -> reply_lost = false; size = 0
+          :: revision == read_revision -> grants[router] = tokens; revision++
+          :: else -> grant_reply_lost = false; tokens = 0
           fi
         };
-        /* after a lost reply: re-read and look for our grant id; one
-         * that was written off meanwhile is not drawn on */
+        /* After a lost reply the router looks for its grant in the
+         * ledger. It does not draw on a grant that has been written off
+         * in the meantime. */
         if
-        :: reply_lost -> size = grant[r]
+        :: grant_reply_lost -> tokens = grants[router]
         :: else -> skip
         fi;
-        held[r] = size
+        held[router] = tokens
      :: else -> skip
      fi;
      skip;
-     d_step { v = 0; h = 0; size = 0; reply_lost = false }  /* locals gone */
-  :: /* spend one token from what is held */
-     used[r] < held[r] -> d_step { used[r]++; generated++ }
-  :: /* settle: bill used, return the rest */
-     held[r] > 0 ->
-     again = true;
+     /* reset locals, so that equal states are stored once */
+     d_step {
+       read_revision = 0; available = 0; tokens = 0; grant_reply_lost = false
+     }
+  :: /* spend one token of the grant */
+     used[router] < held[router] -> d_step { used[router]++; generated++ }
+  :: /* settle: bill the used tokens and return the rest */
+     held[router] > 0 ->
+     retry = true;
      do
-     :: again ->
-        v = ver;
-        if :: reply = false :: reply = true fi;  /* is the reply lost? */
+     :: retry ->
+        read_revision = revision;
+        if :: settle_reply_lost = false :: settle_reply_lost = true fi;
         d_step {
           if
-          :: ver == v && grant[r] + lost[r] > 0 ->
-             spent = spent + used[r]; grant[r] = 0; lost[r] = 0; ver++;
-             again = reply
-          :: ver == v && grant[r] + lost[r] == 0 ->
+          :: revision == read_revision && grants[router] + lost[router] > 0 ->
+             spent = spent + used[router];
+             grants[router] = 0; lost[router] = 0; revision++;
+             retry = settle_reply_lost
+          :: revision == read_revision && grants[router] + lost[router] == 0 ->
 #ifdef NAIVE_RETRY
-             spent = spent + used[r]; ver++;
+             spent = spent + used[router]; revision++;
 #endif
-             again = false  /* found settled: our earlier write landed */
+             retry = false  /* the earlier settlement was applied */
           :: else -> skip
           fi
         }
-     :: !again -> break
+     :: !retry -> break
      od;
-     skip;  /* break may not jump into a d_step */
-     d_step { held[r] = 0; used[r] = 0; v = 0; reply = false }
-  :: /* crash: local state lost, the grant stays in the ledger */
-     !crashed -> d_step { crashed = true; held[r] = 0; used[r] = 0 }
-  :: /* the others take this router for gone, rightly or not, and write
-        its grant off; it goes on spending what it thinks it holds */
-     grant[r] > 0 ->
-     d_step { lost[r] = lost[r] + grant[r]; grant[r] = 0; ver++ }
+     skip;  /* `break` must not jump into a d_step */
+     d_step {
+       held[router] = 0; used[router] = 0;
+       read_revision = 0; settle_reply_lost = false
+     }
+  :: /* crash: local state is lost, the grant stays in the ledger */
+     !crashed -> d_step { crashed = true; held[router] = 0; used[router] = 0 }
+  :: /* Other routers consider this one gone and write its grant off. If
+        it was only paused, it resumes spending the tokens that it held. */
+     grants[router] > 0 ->
+     d_step {
+       lost[router] = lost[router] + grants[router];
+       grants[router] = 0; revision++
+     }
 #ifdef NAIVE_RECLAIM
-  :: /* a lapsed lease lets the KV take the grant back; the paused
-        holder wakes and keeps spending what it thinks it holds */
-     grant[r] > 0 -> d_step { grant[r] = 0; ver++ }
+  :: /* The lease expires and the grant returns to the budget, although
+        the paused holder resumes spending it. */
+     grants[router] > 0 -> d_step { grants[router] = 0; revision++ }
 #endif
   od
 }
 
 proctype Operator() {
-  /* top-up with a lost reply and a retry carrying the same op id */
-  d_step { limit = limit + TOPUP; topped = true; ver++ };
-  d_step { if :: !topped -> limit = limit + TOPUP; ver++ :: else -> skip fi }
+  /* a top-up whose reply is lost, then a retry with the same operation id */
+  d_step { limit = limit + TOPUP_TOKENS; topup_applied = true; revision++ };
+  d_step {
+    if
+    :: !topup_applied -> limit = limit + TOPUP_TOKENS; revision++
+    :: else -> skip
+    fi
+  }
 }
 
 init {
--- a/spec/growth.pml
+++ b/spec/growth.pml
@@ -1,83 +1,100 @@
-/* Grants that grow, and reports of what was used, under lost and late
- * answers of the store. Two holders draw on one budget of CAP tokens; each
- * has one grant. A growth is asked with the size that its holder knows
- * (base); the store adds a token only if its own count is the same. The
- * answer may be lost after the change, or the change may be done only
- * later. A death leaves what the ledger still shows as granted written off.
+/* Model of grants that grow and of usage reports, with lost and late replies
+ * of the store.
  *
- * -DNAIVE_GROWTH: the store does not compare the base, and a holder whose
- *   answer was lost takes its growth for done.
- * -DNAIVE_REPORT: a report frees the whole grant instead of what was used.
+ * Two holders draw on one budget of LIMIT tokens with one grant each. A request
+ * for growth carries the number of tokens that its holder knows to be granted
+ * (`base`), and the store adds a token only if the ledger shows the same
+ * number. The reply may be lost after the change was applied, and the change
+ * may be applied late. When a holder dies, the tokens that the ledger still
+ * shows as granted are written off: they stay counted.
+ *
+ * Each of these flags builds a faulty variant that violates no_overspend:
+ *
+ * -DNAIVE_GROWTH: the store does not compare `base`, and a holder whose reply
+ *   was lost assumes that its growth was applied.
+ * -DNAIVE_REPORT: a report returns the whole grant instead of deducting only
+ *   the used tokens.
  */
-#define CAP 3
-#define N 2
-#define GRANTED(h) (grants[h] + billed[h])
+#define LIMIT 3
+#define HOLDERS 2
+#define GRANTED(holder) (grants[holder] + billed[holder])
 
-byte spent = 0;      /* ledger: reported as used */
-byte grants[N];      /* ledger: granted and not reported */
-byte billed[N];      /* ledger: reported by this holder */
-byte known[N];       /* holder: granted in all, as it knows */
-byte used[N];        /* holder: used in all */
-bool dead[N];
-bool late[N];        /* a growth on its way, done when the store likes */
-byte late_base[N];
+byte spent = 0;                /* ledger: tokens reported by all holders */
+byte grants[HOLDERS];          /* ledger: granted and not reported as used */
+byte billed[HOLDERS];          /* ledger: reported as used by this holder */
+byte known_granted[HOLDERS];   /* holder: total that it knows to be granted */
+byte used[HOLDERS];            /* holder: total used */
+bool holder_dead[HOLDERS];
+bool growth_pending[HOLDERS];  /* the store may apply this growth at any time */
+byte pending_base[HOLDERS];    /* `base` of the pending growth */
 byte generated = 0;
 
-#define HEADROOM (spent + grants[0] + grants[1] < CAP)
+#define HAS_HEADROOM (spent + grants[0] + grants[1] < LIMIT)
 
-inline grow(h, base) {
+inline apply_growth(holder, base) {
   if
 #ifdef NAIVE_GROWTH
-  :: HEADROOM -> grants[h]++
+  :: HAS_HEADROOM -> grants[holder]++
 #else
-  :: HEADROOM && GRANTED(h) == base -> grants[h]++
+  :: HAS_HEADROOM && GRANTED(holder) == base -> grants[holder]++
 #endif
   :: else -> skip
   fi
 }
 
-proctype Holder(byte h) {
+proctype Holder(byte holder) {
   do
-  :: !dead[h] -> /* the growth is answered */
-    atomic { grow(h, known[h]); known[h] = GRANTED(h) }
-  :: !dead[h] -> /* done, and the answer lost */
+  :: !holder_dead[holder] -> /* growth applied, reply received */
+    atomic {
+      apply_growth(holder, known_granted[holder]);
+      known_granted[holder] = GRANTED(holder)
+    }
+  :: !holder_dead[holder] -> /* growth applied, reply lost */
     atomic {
-      grow(h, known[h]);
+      apply_growth(holder, known_granted[holder]);
 #ifdef NAIVE_GROWTH
-      if :: known[h] < CAP -> known[h]++ :: else -> skip fi
+      if
+      :: known_granted[holder] < LIMIT -> known_granted[holder]++
+      :: else -> skip
+      fi
 #endif
     }
-  :: !dead[h] && !late[h] -> /* not done yet */
-    atomic { late[h] = true; late_base[h] = known[h] }
-  :: !dead[h] -> /* the ledger is seen */
-    atomic { known[h] = GRANTED(h) }
-  :: !dead[h] && used[h] < known[h] ->
-    atomic { used[h]++; generated++ }
-  :: !dead[h] && used[h] > billed[h] -> /* a report */
+  :: !holder_dead[holder] && !growth_pending[holder] -> /* growth delayed */
+    atomic {
+      growth_pending[holder] = true;
+      pending_base[holder] = known_granted[holder]
+    }
+  :: !holder_dead[holder] -> /* it reads the ledger */
+    atomic { known_granted[holder] = GRANTED(holder) }
+  :: !holder_dead[holder] && used[holder] < known_granted[holder] ->
+    atomic { used[holder]++; generated++ }
+  :: !holder_dead[holder] && used[holder] > billed[holder] -> /* it reports */
     atomic {
-      spent = spent + used[h] - billed[h];
+      spent = spent + used[holder] - billed[holder];
 #ifdef NAIVE_REPORT
-      grants[h] = 0;
+      grants[holder] = 0;
 #else
-      grants[h] = grants[h] - (used[h] - billed[h]);
+      grants[holder] = grants[holder] - (used[holder] - billed[holder]);
 #endif
-      billed[h] = used[h]
+      billed[holder] = used[holder]
     }
-  :: !dead[h] -> dead[h] = true; break
-  :: dead[h] -> break
+  :: !holder_dead[holder] -> holder_dead[holder] = true; break
+  :: holder_dead[holder] -> break
   od
 }
 
 proctype Store() {
   do
-  :: late[0] -> atomic { grow(0, late_base[0]); late[0] = false }
-  :: late[1] -> atomic { grow(1, late_base[1]); late[1] = false }
+  :: growth_pending[0] ->
+    atomic { apply_growth(0, pending_base[0]); growth_pending[0] = false }
+  :: growth_pending[1] ->
+    atomic { apply_growth(1, pending_base[1]); growth_pending[1] = false }
   od
 }
 
 init { atomic { run Holder(0); run Holder(1); run Store() } }
 
-ltl no_overspend { [] (generated <= CAP) }
+ltl no_overspend { [] (generated <= LIMIT) }
 ltl never_more_than_granted {
   [] (used[0] <= GRANTED(0) && used[1] <= GRANTED(1))
 }
--- a/spec/parts.pml
+++ b/spec/parts.pml
@@ -1,111 +1,122 @@
-/* Parts of a grant: the second half of mustardfall's budget protocol.
+/* Model of parts: the portions of a grant that its owner delegates to peers.
  *
- * An owner holds a grant of a budget and hands a part on to a peer. The
- * part is settled with the owner, whose replies may be lost; or, when
- * the peer takes the owner for gone (rightly or not, at any moment), in
- * the ledger itself. The owner settles its grant with the ledger, may be
- * paused for as long as it likes, may be written off meanwhile, and may
+ * An owner holds a grant of a budget and delegates a part of it to a peer. The
+ * peer settles the part with the owner, whose replies may be lost. If it
+ * considers the owner gone, which may be wrong and may happen at any time, it
+ * settles the part in the ledger instead. The owner settles its grant in the
+ * ledger. It may be paused for any time, be written off in the meantime, and
  * die.
  *
- * Checked: what engines generate stays within the limit, and the ledger
- * never bills more than was generated. Build with -DNAIVE_PART to let a
- * part be settled in the ledger without a mark that the owner's own
- * settlement respects: the part is then billed twice.
+ * Properties: the tokens that engines generate stay within the limit, and the
+ * ledger never bills more than was generated.
+ *
+ * Each of these flags builds a faulty variant that violates one property:
+ *
+ * -DNAIVE_PART: a part settled in the ledger is not recorded there, so the
+ *   owner's settlement bills it a second time (part_billed_once).
+ * -DNAIVE_REST: settling a part in the ledger returns its unused tokens to the
+ *   budget, although the owner may have received the end of the part (its reply
+ *   was lost) and be spending them itself (part_no_overspend).
  */
 
 #define LIMIT 4
-#define GRANT 3
-#define PART 2
+#define GRANT_TOKENS 3
+#define PART_TOKENS 2
 
-/* the ledger */
+/* ledger */
 byte spent = 0;
-byte granted = GRANT;    /* what it still counts for the owner's grant */
-bool open = true;        /* the grant is in `grants` or `lost` */
-bool part_here = false;  /* the part is marked as settled here */
+byte owner_grant = GRANT_TOKENS;      /* tokens counted for the owner's grant */
+bool grant_open = true;               /* listed in `grants` or `lost` */
+bool part_settled_in_ledger = false;  /* recorded in `parts` */
 
-/* the owner */
-byte own = 0;            /* tokens its own requests used */
-byte mine = GRANT;       /* tokens it may use itself */
-bool part_out = false;   /* handed on, not settled with the owner */
-byte part_used_known = 0;
+/* owner */
+byte owner_used = 0;               /* tokens used by its own requests */
+byte owner_tokens = GRANT_TOKENS;  /* tokens that its own requests may use */
+bool part_outstanding = false;     /* delegated, not settled with the owner */
+byte part_used_reported = 0;       /* use of the part that the peer reported */
 bool part_ended = false;
-bool owner_up = true;
+bool owner_alive = true;
 
-/* the peer */
+/* peer */
 byte peer_held = 0;
 byte peer_used = 0;
-bool peer_asked = false;
-bool peer_done = false;  /* it has stopped drawing on the part */
+bool part_requested = false;
+bool peer_stopped = false;         /* no longer draws on the part */
 bool peer_settled = false;
 
-/* the world */
-byte generated = 0;
-byte other = 0;          /* another router's grant of what is free */
+byte generated = 0;                /* tokens generated for all routers */
+byte other_grant = 0;              /* grant of a third router */
 
-inline free_now(f) { f = LIMIT - spent - granted - other }
+inline headroom(available) {
+  available = LIMIT - spent - owner_grant - other_grant
+}
 
 active proctype Owner() {
   do
-  :: atomic { /* what is not out is its own to spend: a part that has
-                 ended gives its rest back to the owner */
-       owner_up && open && own < mine -> own++; generated++
+  :: atomic { /* spend one token of the grant; the unused tokens of an ended
+                 part are available to the owner again */
+       owner_alive && grant_open && owner_used < owner_tokens ->
+       owner_used++; generated++
      }
-  :: /* settle all it knows, once nothing of it is out; one step, since
-        a router's tables change only between two of its awaits */
+  :: /* settle the grant when no part is outstanding; one step, since a
+        router's state changes only between two of its awaits */
      atomic {
-       owner_up && open && !part_out ->
+       owner_alive && grant_open && !part_outstanding ->
        if
-       :: part_here -> spent = spent + own
-       :: else -> spent = spent + own + part_used_known
+       :: part_settled_in_ledger -> spent = spent + owner_used
+       :: else -> spent = spent + owner_used + part_used_reported
        fi;
-       granted = 0; open = false; part_here = false
+       owner_grant = 0; grant_open = false; part_settled_in_ledger = false
      };
      break
-  :: /* death: what it knew is gone, the grant stays counted */
-     owner_up -> owner_up = false; break
+  :: /* death: local state is lost, the grant stays counted */
+     owner_alive -> owner_alive = false; break
   od
 }
 
 active proctype Peer() {
-  bool lost;
+  bool reply_lost;
   do
-  :: !peer_asked ->
-     peer_asked = true;
+  :: !part_requested ->
+     part_requested = true;
      d_step {
        if
-       :: owner_up && open && !part_ended && own + PART <= mine ->
-          part_out = true; peer_held = PART; mine = mine - PART
-       :: else -> peer_done = true; peer_settled = true
+       :: owner_alive && grant_open && !part_ended &&
+          owner_used + PART_TOKENS <= owner_tokens ->
+          part_outstanding = true; peer_held = PART_TOKENS;
+          owner_tokens = owner_tokens - PART_TOKENS
+       :: else -> peer_stopped = true; peer_settled = true
        fi
      }
-  :: peer_asked && !peer_done && peer_used < peer_held ->
+  :: part_requested && !peer_stopped && peer_used < peer_held ->
      d_step { peer_used++; generated++ }
-  :: peer_asked && !peer_done -> peer_done = true
-  :: /* settle with the owner; the reply may be lost, then again */
-     peer_done && !peer_settled && owner_up ->
-     if :: lost = false :: lost = true fi;
+  :: part_requested && !peer_stopped -> peer_stopped = true
+  :: /* settle with the owner; repeated if the reply is lost */
+     peer_stopped && !peer_settled && owner_alive ->
+     if :: reply_lost = false :: reply_lost = true fi;
      d_step {
        if
-       :: part_out ->
-          part_out = false; part_ended = true; part_used_known = peer_used;
-          mine = mine + PART - peer_used
+       :: part_outstanding ->
+          part_outstanding = false; part_ended = true;
+          part_used_reported = peer_used;
+          owner_tokens = owner_tokens + PART_TOKENS - peer_used
        :: else -> skip
        fi;
-       peer_settled = !lost
+       peer_settled = !reply_lost
      }
-  :: /* take the owner for gone, and settle in the ledger */
-     peer_done && !peer_settled ->
+  :: /* consider the owner gone and settle in the ledger */
+     peer_stopped && !peer_settled ->
      d_step {
        if
-       :: open && !part_here ->
+       :: grant_open && !part_settled_in_ledger ->
 #ifdef NAIVE_REST
-          granted = granted - PART;
+          owner_grant = owner_grant - PART_TOKENS;
 #else
-          granted = granted - peer_used;
+          owner_grant = owner_grant - peer_used;
 #endif
           spent = spent + peer_used;
 #ifndef NAIVE_PART
-          part_here = true
+          part_settled_in_ledger = true
 #endif
        :: else -> skip
        fi;
@@ -115,22 +126,24 @@
   od
 }
 
-/* Another router takes whatever the ledger shows as free, at any time. */
+/* A third router takes and uses all free tokens at any time. */
 active proctype Other() {
-  byte f;
+  byte available;
   do
-  :: other < LIMIT ->
+  :: other_grant < LIMIT ->
      d_step {
-       free_now(f);
+       headroom(available);
        if
-       :: f > 0 && f <= LIMIT -> other = other + f; generated = generated + f
+       :: available > 0 && available <= LIMIT ->
+          other_grant = other_grant + available;
+          generated = generated + available
        :: else -> skip
        fi;
-       f = 0
+       available = 0
      }
   :: break
   od
 }
 
 ltl part_no_overspend { [] (generated <= LIMIT) }
-ltl part_billed_once { [] (spent + other <= generated) }
+ltl part_billed_once { [] (spent + other_grant <= generated) }
