--- a/mustardfall/api/calls.py
+++ b/mustardfall/api/calls.py
@@ -32,12 +32,14 @@
   REPLAYED = "replayed"
 
 
-def attributes(entry: table.Found) -> dict[str, str]:
+def attributes(entry: table.CallerEntry) -> dict[str, str]:
   """Returns the metric attributes of an entry: tenant and class."""
   return {"customer": entry.customer, "class": entry.klass.value}
 
 
-def count(router: router_lib.Router, entry: table.Found, end: End) -> None:
+def count(
+    router: router_lib.Router, entry: table.CallerEntry, end: End
+) -> None:
   """Counts one request's end."""
   router.instruments.outcomes.add(
       1, {**attributes(entry), "outcome": end.value}
@@ -46,7 +48,7 @@
 
 
 async def admit(
-    router: router_lib.Router, entry: table.Found, tokens: int
+    router: router_lib.Router, entry: table.CallerEntry, tokens: int
 ) -> "Call | verdict.Verdict":
   """Admits a request that may use `tokens`, or refuses it at once."""
   router.retries.deposit()
@@ -55,7 +57,7 @@
     count(router, entry, End.REFUSED)
     # A router that draws through the budget's owner may never have seen the
     # ledger; told to come back, a hopeless request would do so for ever.
-    known = await router.accounts.look_up(entry.name)
+    known = await router.accounts.fetch_balance(entry.name)
     if known is not None and tokens > known.limit:
       # Come back, and it would be refused for ever.
       return verdict.refuse(
@@ -81,7 +83,7 @@
   def __init__(
       self,
       router: router_lib.Router,
-      entry: table.Found,
+      entry: table.CallerEntry,
       reservation: allotment.Reservation,
   ) -> None:
     self.router = router
@@ -92,7 +94,7 @@
     self._answered = False
     self._settled = False
     self._handed_over = False
-    self._want: scheduler.Want | None = None
+    self._want: scheduler.SlotRequest | None = None
     self.row: endpoints.Row | None = None
     self._idem_key = ""
     self._claim = ""
@@ -129,7 +131,7 @@
       self, kind: str, model_name: str, avoid: frozenset[str]
   ) -> scheduler.Shed | None:
     """Takes a place at an endpoint; returns the refusal, or None."""
-    want = scheduler.Want(kind, model_name, self.entry.klass)
+    want = scheduler.SlotRequest(kind, model_name, self.entry.klass)
     got = await self.router.scheduler.acquire(want, avoid)
     if isinstance(got, scheduler.Shed):
       return got
@@ -139,20 +141,20 @@
 
   def await_first_token(self) -> None:
     """Notes that a stream's first token is due, for the limits."""
-    self.row.awaiting[id(self)] = self._sent
+    self.row.awaiting_first_token[id(self)] = self._sent
 
   def release(self) -> None:
     """Gives the place back, if one is held."""
     if self.row is not None:
       row, self.row = self.row, None
-      row.awaiting.pop(id(self), None)
+      row.awaiting_first_token.pop(id(self), None)
       self.router.scheduler.release(row, self._want)
 
-  def note_first_token(self, steer: bool = True) -> None:
+  def note_first_token(self, adapt_limit: bool = True) -> None:
     """Notes the time to first token, for the metrics and the limits.
 
     Args:
-      steer: whether the time says how busy the endpoint is; a whole
+      adapt_limit: whether the time says how busy the endpoint is; a whole
         answer's time mostly says how long the answer was.
     """
     if self._answered:
@@ -162,9 +164,9 @@
     self.router.instruments.ttft.record(
         now - self._started, attributes(self.entry)
     )
-    if steer and self.row is not None:
-      self.row.awaiting.pop(id(self), None)
-      self.router.endpoints.steer(self.row, now - self._sent, now)
+    if adapt_limit and self.row is not None:
+      self.row.awaiting_first_token.pop(id(self), None)
+      self.router.endpoints.adapt_limit(self.row, now - self._sent, now)
 
   def settle(self, used: int | None, end: End) -> int:
     """Bills `used` tokens (the whole reservation when None), once.
--- a/mustardfall/api/chat.py
+++ b/mustardfall/api/chat.py
@@ -73,7 +73,7 @@
 
 def _read(
     router: router_lib.Router,
-    entry: table.Found,
+    entry: table.CallerEntry,
     request: requests.Request,
     body: dict[str, Any] | None,
 ) -> _Ask | verdict.Verdict:
@@ -241,7 +241,7 @@
   finally:
     with anyio.CancelScope(shield=True):
       await reply.aclose()
-  call.note_first_token(steer=False)
+  call.note_first_token(adapt_limit=False)
   billed = call.settle(used, calls.End.COMPLETED)
   await call.record(idempotency.State.RAN)
   return responses.JSONResponse(
--- a/mustardfall/bench/sample.py
+++ b/mustardfall/bench/sample.py
@@ -9,8 +9,8 @@
     "mahakama": ("assistant", ("urgent", "deferrable")),
 }
 _WEIGHS = {
-    "retourhuis": policy.Weighs.FALSE_REFUSALS,
-    "mahakama": policy.Weighs.OVERSPEND,
+    "retourhuis": policy.Preference.FALSE_REFUSALS,
+    "mahakama": policy.Preference.OVERSPEND,
 }
 TEAMS = 10
 
--- a/mustardfall/bench/virtual/engines.py
+++ b/mustardfall/bench/virtual/engines.py
@@ -140,7 +140,7 @@
   kind: Kind
   tokens: int
   prompt: placement.Prompt
-  place: placement.Place
+  place: placement.Placement
   name: str
   sent_at: float
 
@@ -222,7 +222,7 @@
     name = f"{now:.6f}"
     sent = _Sent(kind, sum(prompt[1:]), prompt, place, name, sent_at=now)
     place.row.in_flight += 1
-    place.row.reading_s += place.reading_s
+    place.row.prefill_s += place.prefill_s
     first_at, shared = self.engines[place.row.name].read(prompt, now)
     self._shared_asked += prompt.shared_tokens
     if prompt.prefix in self._known:
@@ -232,10 +232,10 @@
     self.later(first_at, lambda at: self._first(router, sent, at))
 
   def _first(self, router: _Router, sent: _Sent, now: float) -> None:
-    sent.place.row.reading_s -= sent.place.reading_s
+    sent.place.row.prefill_s -= sent.place.prefill_s
     took_s = now - sent.sent_at
     self._times.setdefault(sent.kind.name, []).append((sent.tokens, took_s))
-    router.table.learn(sent.place.row, sent.place.answer_s, took_s)
+    router.table.update_slowness(sent.place.row, sent.place.answer_s, took_s)
     self._tell(self, router, "first", sent, now)
     self.later(now + _STREAM_S, lambda at: self._end(router, sent, at))
 
@@ -284,7 +284,7 @@
 
 def _choose_known(
     player: Player, router: _Router, prompt: placement.Prompt, now: float
-) -> placement.Place:
+) -> placement.Placement:
   """Takes what the router itself knows."""
   del player, now
   return placement.choose(router.rows, prompt, router.datacentre)
@@ -292,30 +292,30 @@
 
 def _choose_hashed(
     player: Player, router: _Router, prompt: placement.Prompt, now: float
-) -> placement.Place:
+) -> placement.Placement:
   """Takes the first in the prefix's order."""
   del now
   first, _ = placement.candidates(
       router.rows, prompt, router.datacentre, player.rng()
   )
-  held_s = placement.reading_s(True, prompt)
-  return placement.Place(first[0].row, held_s, held_s)
+  held_s = placement.prefill_s(True, prompt)
+  return placement.Placement(first[0].row, held_s, held_s)
 
 
 def _choose_of_two(
     player: Player, router: _Router, prompt: placement.Prompt, now: float
-) -> placement.Place:
+) -> placement.Placement:
   """Takes the less busy of two drawn at random, as the router knows them."""
   del now
   rows = player.rng().sample(router.rows, 2)
   row = min(rows, key=lambda r: placement.wait_s(r, prompt))
-  own_s = placement.reading_s(False, prompt)
-  return placement.Place(row, own_s, placement.wait_s(row, prompt) + own_s)
+  own_s = placement.prefill_s(False, prompt)
+  return placement.Placement(row, own_s, placement.wait_s(row, prompt) + own_s)
 
 
 def _choose_tracked(
     player: Player, router: _Router, prompt: placement.Prompt, now: float
-) -> placement.Place:
+) -> placement.Placement:
   """Asks those who track the candidates."""
   rounds = placement.candidates(
       router.rows, prompt, router.datacentre, player.rng()
@@ -324,13 +324,11 @@
   for found in rounds:
     asked += found
     player.messages += len(found)
-    standings = {
-        one.row.life: player.tracker.stand(one.row.life, prompt.prefix, now)
+    statuses = {
+        one.row.life: player.tracker.status_of(one.row.life, prompt.prefix, now)
         for one in asked
     }
-    place = placement.choose_tracked(
-        asked, standings, prompt, router.datacentre
-    )
+    place = placement.choose_tracked(asked, statuses, prompt, router.datacentre)
     if not placement.is_busy(place, prompt):
       break
   return place
@@ -358,8 +356,8 @@
     player.messages += 1
     other = player.routers[router.turn]
     if other is not router:
-      other.loads.take(report, now)
-      other.loads.add_up(now)
+      other.loads.apply_report(report, now)
+      other.loads.recompute_totals(now)
 
 
 def _tell_tracker(
@@ -371,11 +369,11 @@
   life = sent.place.row.life
   if step == "sent":
     player.tracker.note_sent(
-        life, sent.name, sent.prompt.prefix, sent.place.reading_s, now
+        life, sent.name, sent.prompt.prefix, sent.place.prefill_s, now
     )
   elif step == "first":
     took_s = now - sent.sent_at
-    player.tracker.note_first(life, sent.place.answer_s, took_s, now)
+    player.tracker.note_first_token(life, sent.place.answer_s, took_s, now)
   else:
     player.tracker.note_end(life, sent.name, False, now)
 
--- a/mustardfall/bench/virtual/store.py
+++ b/mustardfall/bench/virtual/store.py
@@ -11,7 +11,7 @@
 
 from mustardfall import errors
 from mustardfall.bench.virtual import network as network_lib
-from mustardfall.kv import contact
+from mustardfall.kv import circuit_breaker
 from mustardfall.kv import protocol
 
 _ANSWER_S = 0.004
@@ -145,33 +145,33 @@
     self._network = network
     self._host = host
     self._rng = rng
-    self._contact = contact.Contact(clock)
+    self._breaker = circuit_breaker.CircuitBreaker(clock)
     self._ttls: dict[int, float] = {}
     self.calls = 0
 
   @property
   def reachable(self) -> bool:
     """Whether the last call was answered."""
-    return not self._contact.lost
+    return not self._breaker.is_open
 
   async def close(self) -> None:
     """Does nothing."""
 
   async def _reach(self, kind: str, eager: bool = False) -> None:
     """Takes as long as a call; raises what a failed one raises."""
-    if not eager and not self._contact.may_try():
+    if not eager and not self._breaker.allows_call():
       raise errors.KvUnavailableError("store away")
     self.calls += 1
     self._store.calls[kind] += 1
     if not self._network.reaches_store(self._host):
       await anyio.sleep(_CALL_S)
-      self._contact.note("no answer")
+      self._breaker.record("no answer")
       raise errors.KvUnknownError("no answer")
     await anyio.sleep(_ANSWER_S * self._network.slow_x)
     if self._network.is_refused(self._host):
-      self._contact.note("refused")
+      self._breaker.record("refused")
       raise errors.KvUnavailableError("refused")
-    self._contact.note(None)
+    self._breaker.record(None)
 
   async def get(self, key: str) -> protocol.Record | None:
     """Returns the record at `key`, or None."""
@@ -217,7 +217,7 @@
     loop = asyncio.get_running_loop()
     loop.call_later(late_s, self._store.commit, compares, success)
     await anyio.sleep(_CALL_S)
-    self._contact.note("answer lost")
+    self._breaker.record("answer lost")
     raise errors.KvUnknownError("answer lost")
 
   async def grant_lease(self, ttl_s: int) -> int:
@@ -250,7 +250,7 @@
           await self._store.wait()
       if not self._network.reaches_store(self._host):
         await anyio.sleep(_WATCH_SLACK_S)
-        self._contact.note("watch silent")
+        self._breaker.record("watch silent")
         raise errors.KvUnknownError("watch silent")
       for change in self._store.changes(prefix, since):
         yield protocol.Event(change.deleted, change.record)
--- a/mustardfall/budget/acquiring.py
+++ b/mustardfall/budget/acquiring.py
@@ -264,7 +264,7 @@
   ) -> bool:
     """Asks a router for a part; returns whether its answer is final."""
     part = self._table.new_gid()
-    request = peers_lib.Ask(budget, customer, part, least, want)
+    request = peers_lib.ReserveRequest(budget, customer, part, least, want)
     answer = await self._peers.reserve(router, request)
     if answer is None:
       # The router may have delegated the part and its reply may have been lost.
--- a/mustardfall/budget/granting.py
+++ b/mustardfall/budget/granting.py
@@ -54,7 +54,7 @@
       refusals: refusals_lib.RefusalCache,
       settler: settling.Settler,
       writer: writer_lib.Writer,
-      vouch: Callable[[clock_lib.Moment], clock_lib.Moment],
+      with_error_bound: Callable[[clock_lib.Moment], clock_lib.Moment],
       counts: collections.Counter[str],
   ) -> None:
     self._config = config
@@ -65,7 +65,7 @@
     self._refusals = refusals
     self._settler = settler
     self._writer = writer
-    self._vouch = vouch
+    self._with_error_bound = with_error_bound
     self._counts = counts
     self.pending_gids: set[str] = set()
     """Grants with a request to the KV in progress."""
@@ -112,7 +112,7 @@
         tokens=drawn + slack,
         grace_s=self._config.ceiling_grace_s,
         rate=rate,
-        issued=self._vouch(self._clock.moment()),
+        issued=self._with_error_bound(self._clock.moment()),
     )
     if row is not None:
       self._table.add_ceiling(row.gid, ceiling, self._clock.monotonic())
--- a/mustardfall/budget/holding.py
+++ b/mustardfall/budget/holding.py
@@ -102,4 +102,4 @@
   on by compare-and-swap. With as many writers as routers at a fixed interval,
   most writes would conflict and be retried.
   """
-  return config.report_s * max(1.0, routers / members_lib.CLOSE_FLEET)
+  return config.report_s * max(1.0, routers / members_lib.MAX_SMALL_FLEET)
--- a/mustardfall/budget/ownership.py
+++ b/mustardfall/budget/ownership.py
@@ -70,8 +70,8 @@
     self._counts = counts
 
   async def serve_part_request(
-      self, request: peers_lib.Ask
-  ) -> peers_lib.Handed:
+      self, request: peers_lib.ReserveRequest
+  ) -> peers_lib.ReserveReply:
     """Delegates a part of a budget to another router."""
     handed = self._delegate(request)
     if handed.tokens:
@@ -97,14 +97,16 @@
   def _owns(self, budget: str) -> bool:
     return self._budget_view.owner(budget) is None
 
-  def _delegate(self, request: peers_lib.Ask) -> peers_lib.Handed:
+  def _delegate(
+      self, request: peers_lib.ReserveRequest
+  ) -> peers_lib.ReserveReply:
     share = self._config.part_share
     size, gid = self._table.delegate(
         request.budget, request.part, request.least, request.want, share
     )
-    return peers_lib.Handed(size, gid)
+    return peers_lib.ReserveReply(size, gid)
 
-  def serve_settle(self, ended: list[peers_lib.Ended]) -> None:
+  def serve_settle(self, ended: list[peers_lib.EndedPart]) -> None:
     """Settles parts that another router has finished with."""
     for part in ended:
       self._settler.settle_delegated(part)
@@ -116,7 +118,7 @@
     and tokens left here would be idle and out of its reach. While the KV is
     unavailable nothing can be returned, and idle tokens may be needed.
     """
-    if not self._config.owned or self._writer.away:
+    if not self._config.owned or self._writer.is_paused:
       return
     now = self._clock.monotonic()
     for row in self._table.rows.values():
--- a/mustardfall/budget/pool.py
+++ b/mustardfall/budget/pool.py
@@ -82,9 +82,16 @@
         budgets,
     )
     self._settler = settling.Settler(self.table, members, peers, writer)
-    vouch = clock_check.vouch if clock_check is not None else _unverified
+    with_error_bound = (
+        clock_check.with_error_bound if clock_check is not None else _unverified
+    )
     self.renewer = renewals.Renewer(
-        self._config, clock, members.me.life, self.table, writer, vouch
+        self._config,
+        clock,
+        members.me.life,
+        self.table,
+        writer,
+        with_error_bound,
     )
     self.reviewer = reviewing.Reviewer(
         clock,
@@ -115,7 +122,7 @@
         self._refusals,
         self._settler,
         writer,
-        vouch,
+        with_error_bound,
         self._counts,
     )
     self.acquirer = acquiring.TokenAcquirer(
--- a/mustardfall/budget/renewals.py
+++ b/mustardfall/budget/renewals.py
@@ -88,14 +88,14 @@
       life: str,
       table: allotment.Table,
       writer: writer_lib.Writer,
-      vouch: Callable[[clock_lib.Moment], clock_lib.Moment],
+      with_error_bound: Callable[[clock_lib.Moment], clock_lib.Moment],
   ) -> None:
     self._config = config
     self._clock = clock
     self._life = life
     self._table = table
     self._writer = writer
-    self._vouch = vouch
+    self._with_error_bound = with_error_bound
     self._earlier_renewals: dict[str, clock_lib.Moment] = {}
     self._loaded = anyio.Event()
     self._unconfirmed: list[float] | None = None
@@ -151,7 +151,7 @@
       return
     if not table.within_issued_ceilings():
       return
-    moment = self._vouch(self._clock.moment())
+    moment = self._with_error_bound(self._clock.moment())
     now = self._clock.monotonic()
     self._table.renew_ceilings(now)
     self._unconfirmed = list(moment)
--- a/mustardfall/budget/reviewing.py
+++ b/mustardfall/budget/reviewing.py
@@ -64,7 +64,7 @@
     self._clock_check = clock_check
     self._renewer = renewer
     self._counts = counts
-    self._started = clock.started()
+    self._started = clock.process_start()
     self._pending_reviews: set[tuple[str, str]] = set()
     """Later lives of dead routers, and the budgets that they are to review."""
     self._wake = anyio.Event()
@@ -73,7 +73,7 @@
 
   def _vouch(self, moment: clock_lib.Moment) -> clock_lib.Moment:
     check = self._clock_check
-    return moment if check is None else check.vouch(moment)
+    return moment if check is None else check.with_error_bound(moment)
 
   def find_reviews(
       self, budget: str, state: ledger.Ledger
--- a/mustardfall/budget/settling.py
+++ b/mustardfall/budget/settling.py
@@ -47,7 +47,7 @@
     """Tokens of each grant that were reported, or are about to be."""
     self._unconfirmed_reports: dict[str, ceilings_lib.Ceiling | None] = {}
     """Ceiling sent with each grant's report in progress."""
-    self._ended: dict[str, list[tuple[peers_lib.Ended, allotment.Row]]] = {}
+    self._ended: dict[str, list[tuple[peers_lib.EndedPart, allotment.Row]]] = {}
     """Parts to settle, by the life of the owner that delegated them."""
 
   def settle_row(self, row: allotment.Row) -> None:
@@ -137,7 +137,7 @@
 
   def queue_ended(self, row: allotment.Row) -> None:
     """Queues a finished part to be settled with its owner."""
-    ended = peers_lib.Ended(row.gid, row.own_drawn)
+    ended = peers_lib.EndedPart(row.gid, row.own_drawn)
     self._ended.setdefault(row.source, []).append((ended, row))
 
   async def settle_parts(self) -> None:
@@ -162,7 +162,9 @@
           continue
       self._ended.setdefault(life, []).extend(batch)
 
-  def _settle_orphan(self, ended: peers_lib.Ended, row: allotment.Row) -> None:
+  def _settle_orphan(
+      self, ended: peers_lib.EndedPart, row: allotment.Row
+  ) -> None:
     """Settles a part in the ledger, once, because its owner is gone."""
     if row.settled_in_ledger:
       return
@@ -180,7 +182,7 @@
       for ended, row in batch:
         self._settle_orphan(ended, row)
 
-  def settle_delegated(self, ended: peers_lib.Ended) -> None:
+  def settle_delegated(self, ended: peers_lib.EndedPart) -> None:
     """Settles a part that another router has finished with."""
     part, used = ended
     outstanding = self._table.outstanding_parts.pop(part, None)
--- a/mustardfall/catalogue/model.py
+++ b/mustardfall/catalogue/model.py
@@ -62,7 +62,7 @@
   model_config = pydantic.ConfigDict(extra="forbid", frozen=True)
 
   name: str
-  weighs: policy.Weighs
+  weighs: policy.Preference
 
 
 class PlacementSpec(pydantic.BaseModel):
--- a/mustardfall/catalogue/table.py
+++ b/mustardfall/catalogue/table.py
@@ -109,7 +109,7 @@
     self._overlay: dict[bytes, CallerEntry] = {}
     """Entries changed since `_base` was read, by the digest of their API
     key."""
-    self._weighs: dict[str, policy.Weighs] = {}
+    self._weighs: dict[str, policy.Preference] = {}
     self.placements: dict[str, frozenset[str]] = {}
     """The models that engines should have loaded, by the engine's name."""
 
@@ -172,5 +172,5 @@
 
   def policy_of(self, customer: str) -> policy.Policy:
     """Returns how the customer's budgets are treated when they run low."""
-    weighs = self._weighs.get(customer, policy.Weighs.OVERSPEND)
+    weighs = self._weighs.get(customer, policy.Preference.OVERSPEND)
     return policy.POLICIES[weighs]
--- a/mustardfall/daemons/router.py
+++ b/mustardfall/daemons/router.py
@@ -57,7 +57,7 @@
           config.drain_s,
           stop_public,
       )
-      await router.hand_back()
+      await router.return_allotments()
       stop_peer.set()
     await router.finish()
     background.cancel_scope.cancel()
--- a/mustardfall/gateway.py
+++ b/mustardfall/gateway.py
@@ -117,7 +117,7 @@
         self.kv,
         self.bus,
         self._call_peer,
-        lambda customer: policy.CONFIGURED,
+        lambda customer: policy.CONFIGURED_BUDGETS,
         self._limit_of,
         budgets=self._budgets,
     )
@@ -188,7 +188,7 @@
   def take_configuration(self, new: configuration.Configuration) -> None:
     """Applies a newer configuration, and retires grants of reduced budgets."""
     old = self.directory.configuration
-    if not self.directory.take_configuration(new) or old is None:
+    if not self.directory.apply_configuration(new) or old is None:
       return
     for name, team in new.teams.items():
       before = old.teams.get(name)
@@ -216,7 +216,7 @@
     retried if it must not run twice.
     """
     before = self._lives_by_address()
-    self.directory.take_endpoints(hosts)
+    self.directory.apply_endpoints(hosts)
     after = self._lives_by_address()
     for address, life in before.items():
       if after.get(address) != life:
@@ -342,8 +342,8 @@
       now = self.clock.monotonic()
       self.accounts.pool.tick(now - last)
       self.directory.endpoints.tick(now)
-      self.loads.add_up(now)
-      self.trackers.forget()
+      self.loads.recompute_totals(now)
+      self.trackers.prune()
       await self.connection_pool.close_expired()
       last = now
 
@@ -359,7 +359,7 @@
     drained = await server.wait_until_drained(max(0.0, remaining_s))
     with anyio.move_on_after(max(0.1, stops_at - self.clock.monotonic())):
       try:
-        await self.accounts.hand_back()
+        await self.accounts.return_allotments()
       except Exception:  # noqa: BLE001  the restarted process does it
         logger.exception("budgets not returned to the store")
       await self.accounts.writer.flush(budget_return_s)
--- a/mustardfall/membership/clockcheck.py
+++ b/mustardfall/membership/clockcheck.py
@@ -87,7 +87,7 @@
   @property
   def agrees(self) -> bool:
     """Whether the wall clock agrees with most others now."""
-    return self.with_error_bound(self._clock.moment()).agreed
+    return self.with_error_bound(self._clock.moment()).wall_clock_agreed
 
   async def wait(self, timeout_s: float) -> None:
     """Waits for the first agreement, for at most `timeout_s`."""
--- a/mustardfall/membership/datagrams.py
+++ b/mustardfall/membership/datagrams.py
@@ -142,7 +142,9 @@
           local_host=self._host, local_port=self._port
       )
 
-    async with await sockets.open_port("datagrams", self._port, _create) as udp:
+    async with await sockets.bind_with_retry(
+        "datagrams", self._port, _create
+    ) as udp:
       self._udp = udp
       try:
         async with anyio.create_task_group() as tasks:
--- a/mustardfall/membership/loadshare.py
+++ b/mustardfall/membership/loadshare.py
@@ -99,4 +99,4 @@
 
   def _handle_report(self, raw: bytes) -> None:
     report = loads_lib.decode(raw)
-    self._loads.take(report, self._clock.monotonic())
+    self._loads.apply_report(report, self._clock.monotonic())
--- a/mustardfall/membership/trackers.py
+++ b/mustardfall/membership/trackers.py
@@ -33,10 +33,10 @@
   def __init__(self, endpoints: set[str]) -> None:
     self.missing = endpoints
     """Endpoints without an answer."""
-    self.standings: dict[str, tracking.Standing] = {}
+    self.standings: dict[str, tracking.EndpointStatus] = {}
     self.done = anyio.Event()
 
-  def add(self, endpoint: str, standing: tracking.Standing) -> None:
+  def add(self, endpoint: str, standing: tracking.EndpointStatus) -> None:
     """Adds the answer about one endpoint."""
     if endpoint not in self.missing:
       return
@@ -95,7 +95,7 @@
 
   async def survey(
       self, endpoints: Iterable[str], prefix: str
-  ) -> dict[str, tracking.Standing]:
+  ) -> dict[str, tracking.EndpointStatus]:
     """Returns the standings of endpoints, as far as answers arrive in time.
 
     Args:
@@ -108,7 +108,7 @@
     for endpoint in sorted(survey.missing):
       tracker = self._trackers(endpoint)[0]
       if tracker.life == self._members.me.life:
-        survey.add(endpoint, self._tracker.stand(endpoint, prefix, now))
+        survey.add(endpoint, self._tracker.status_of(endpoint, prefix, now))
       else:
         endpoints_by_tracker.setdefault(tracker, []).append(endpoint)
     if endpoints_by_tracker:
@@ -142,7 +142,7 @@
     query_id, prefix, endpoints = json.loads(raw)
     now = self._clock.monotonic()
     standings = [
-        [endpoint, *self._tracker.stand(str(endpoint), str(prefix), now)]
+        [endpoint, *self._tracker.status_of(str(endpoint), str(prefix), now)]
         for endpoint in endpoints
     ]
     content = _encode([int(query_id), standings])
@@ -153,10 +153,10 @@
     survey = self._surveys.get(query_id)
     if survey is None:
       return  # the answer is late: the query has timed out
-    for endpoint, in_flight, reading_s, held, slowness, failures in standings:
-      standing = tracking.Standing(
+    for endpoint, in_flight, prefill_s, held, slowness, failures in standings:
+      standing = tracking.EndpointStatus(
           int(in_flight),
-          float(reading_s),
+          float(prefill_s),
           bool(held),
           float(slowness),
           float(failures),
@@ -164,14 +164,14 @@
       survey.add(endpoint, standing)
 
   def note_sent(
-      self, endpoint: str, prefix: str, reading_s: float
+      self, endpoint: str, prefix: str, prefill_s: float
   ) -> TrackedRequest:
     """Reports to the trackers that a request is being sent to an endpoint."""
     request = f"{next(self._ids):x}.{self._members.me.name}"
-    self._send_update(["sent", endpoint, request, prefix, round(reading_s, 4)])
+    self._send_update(["sent", endpoint, request, prefix, round(prefill_s, 4)])
     return TrackedRequest(endpoint, request)
 
-  def note_first(
+  def note_first_token(
       self, sent: TrackedRequest, expected_s: float, took_s: float
   ) -> None:
     """Reports the expected and actual time to the first token."""
@@ -194,11 +194,13 @@
     step, endpoint, *facts = json.loads(raw)
     now = self._clock.monotonic()
     if step == "sent":
-      request, prefix, reading_s = facts
-      self._tracker.note_sent(endpoint, request, prefix, float(reading_s), now)
+      request, prefix, prefill_s = facts
+      self._tracker.note_sent(endpoint, request, prefix, float(prefill_s), now)
     elif step == "first":
       expected_s, took_s = facts
-      self._tracker.note_first(endpoint, float(expected_s), float(took_s), now)
+      self._tracker.note_first_token(
+          endpoint, float(expected_s), float(took_s), now
+      )
     elif step == "end":
       request, failed = facts
       self._tracker.note_end(endpoint, request, bool(failed), now)
--- a/mustardfall/membership/verdicts.py
+++ b/mustardfall/membership/verdicts.py
@@ -94,7 +94,7 @@
 
   def note_success(self, fingerprint: str) -> None:
     """Records that an endpoint completed a request; clears the request."""
-    was_quarantined = bool(self._table.left_s(fingerprint))
+    was_quarantined = bool(self._table.remaining_s(fingerprint))
     if not self._table.note_success(fingerprint):
       return
     cleared = quarantine.Verdict(fingerprint, "", 0.0)
@@ -116,10 +116,10 @@
     return [member for member in candidates if member.life != me]
 
   def _count_crash(self, suspect: quarantine.Suspect) -> None:
-    if self._table.note_end(suspect):
+    if self._table.note_crash(suspect):
       self._publish(
           quarantine.Verdict(
-              suspect.fingerprint, suspect.team, quarantine.TERM_S
+              suspect.fingerprint, suspect.team, quarantine.QUARANTINE_S
           )
       )
 
@@ -137,7 +137,9 @@
   def _handle_verdicts(self, raw: bytes) -> None:
     for fingerprint, team, left_s in deltas.unpack(raw, _MAX_UNPACKED_BYTES):
       _check_names(fingerprint, team)
-      self._table.take(quarantine.Verdict(fingerprint, team, float(left_s)))
+      self._table.apply_verdict(
+          quarantine.Verdict(fingerprint, team, float(left_s))
+      )
 
   async def run(self) -> None:
     """Sends, stores and gossips verdicts until cancelled."""
@@ -223,7 +225,7 @@
         logger.error("verdict unreadable", extra=extra)
         continue
       verdict = quarantine.Verdict(stored.fingerprint, stored.team, left_s)
-      if left_s > 0 and self._table.take(verdict):
+      if left_s > 0 and self._table.apply_verdict(verdict):
         added.append(verdict)
     await self._send(added, self._members.others)
     return True
--- a/mustardfall/overhead.py
+++ b/mustardfall/overhead.py
@@ -36,13 +36,13 @@
     """Number of calls and datagrams so far, by kind."""
     self.sizes: collections.Counter[str] = collections.Counter()
     """Bytes of their payloads so far, by kind."""
-    instruments.observe(
+    instruments.observe_totals(
         "mustardfall.control",
         "",
         "calls and datagrams beside requests",
         self.counts,
     )
-    instruments.observe(
+    instruments.observe_totals(
         "mustardfall.control_bytes",
         "By",
         "contents of those calls and datagrams",
--- a/mustardfall/platform/documents.py
+++ b/mustardfall/platform/documents.py
@@ -230,7 +230,8 @@
       objective=_milliseconds(data.slo_ms or data.timeout_ms),
       priority=data.priority or 0,
       split=tuple(
-          configuration.Share(target.service, target.weight) for target in split
+          configuration.WeightedService(target.service, target.weight)
+          for target in split
       ),
       max_attempts=data.max_attempts or 1,
       public=bool(data.public),
--- a/mustardfall/platform/followers.py
+++ b/mustardfall/platform/followers.py
@@ -92,13 +92,13 @@
 
   def _max_silence_s(self) -> float:
     """Returns the time without a notice after which this router reads."""
-    return self._notices.patience_s(self._source.max_silence_s)
+    return self._notices.read_delay_s(self._source.max_silence_s)
 
   def _must_read(self) -> bool:
     """Whether this router has to read the document from the store."""
     if self._copies.find(self._name) is None:
       return True
-    if self._notices.silent_s(self._name) >= self._max_silence_s():
+    if self._notices.since_notice_s(self._name) >= self._max_silence_s():
       return True
     behind_since = self._behind_since
     if behind_since is None:
@@ -111,23 +111,23 @@
 
     False on the readers, which read it from the store.
     """
-    return self._behind_since is not None and not self._notices.reads
+    return self._behind_since is not None and not self._notices.is_reader
 
   async def _catch_up(self) -> bool:
     """Fetches the change from another router; returns whether one had it."""
-    for member in self._notices.sources():
-      want = self._notices.digest(self._name)
-      fetched = await self._relay.ask(member, self._name, want)
+    for member in self._notices.relay_sources():
+      want = self._notices.announced_digest(self._name)
+      fetched = await self._relay.fetch_from(member, self._name, want)
       if fetched is not None:
         await self._save_fetched(fetched)
-      if self._notices.agrees(self._name):
+      if self._notices.is_up_to_date(self._name):
         self._behind_since = None
         return True
     return False
 
   async def _wait_for_notice(self) -> None:
     """Waits until a notice arrives or a read is due."""
-    left_s = self._max_silence_s() - self._notices.silent_s(self._name)
+    left_s = self._max_silence_s() - self._notices.since_notice_s(self._name)
     if self._behind_since is not None:
       left_s = min(left_s, _CATCH_UP_S)
     await self._notices.wait(left_s)
@@ -135,7 +135,7 @@
 
   async def _apply_copy(self) -> None:
     """Applies the copy if it changed or was confirmed to be current."""
-    if self._notices.agrees(self._name):
+    if self._notices.is_up_to_date(self._name):
       self._behind_since = None
     elif self._behind_since is None:
       self._behind_since = self._clock.monotonic()
@@ -186,15 +186,15 @@
       return  # a notice brought a later version during the read
     copy = self._copies.put(self._name, document, as_of)
     await self._apply_copy()
-    if not self._notices.tells:
+    if not self._notices.is_announcer:
       return
     if previous is not None and previous.digest != copy.digest:
       change = deltas.diff(previous.document, document)
-      await self._notices.tell_change(self._name, change)
+      await self._notices.announce_change(self._name, change)
     elif self._name == documents.SERVERS_PREFIX:
       # A notice carries the digests of all documents. The server list is read
       # most often, so notices go out after its reads.
-      await self._notices.tell()
+      await self._notices.announce()
 
   async def _fetch_from_peers(self) -> None:
     """Fetches the document from another router if that has a newer copy."""
@@ -212,7 +212,7 @@
 
   async def _back_off(self) -> None:
     """Waits before the next read, or until a notice makes it unnecessary."""
-    notifies = self._notices.tells or self._notices.reads
+    notifies = self._notices.is_announcer or self._notices.is_reader
     initial_s, max_s = _NOTIFIER_BACKOFF if notifies else _DEFAULT_BACKOFF
     pause_s = min(max_s, initial_s * _BACKOFF_FACTOR**self._failures)
     pause_s *= 1 + _JITTER * (random.random() - 0.5)
@@ -221,7 +221,7 @@
     while (left_s := resume_at - self._clock.monotonic()) > 0:
       await self._notices.wait(left_s)
       await self._apply_copy()
-      if not self._notices.reads and not self._must_read():
+      if not self._notices.is_reader and not self._must_read():
         return
 
 
@@ -285,8 +285,8 @@
     await self._gateway.take_endpoints(document["hosts"])
 
   async def _apply_members(self, document: deltas.Document) -> None:
-    self._members.take([members_lib.from_row(r) for r in document["members"]])
-    self._members.note_touch(True)
+    self._members.update([members_lib.from_row(r) for r in document["members"]])
+    self._members.set_connected(True)
 
   def _mark_unreachable(self) -> None:
-    self._members.note_touch(False)
+    self._members.set_connected(False)
--- a/mustardfall/platform/headers.py
+++ b/mustardfall/platform/headers.py
@@ -162,7 +162,7 @@
         authority=_parse_authority(by_name.get(b"host", b"")),
         path=path,
         api_key=by_name.get(_CREDENTIAL, b"").decode("latin-1"),
-        patience_s=None if deadline_ms is None else deadline_ms / 1000,
+        caller_timeout_s=None if deadline_ms is None else deadline_ms / 1000,
         usage=_parse_usage(by_name.get(_TOKEN_USAGE)),
         parts=_parse_prompt_parts(by_name.get(_PROMPT_PREFIX)),
         last_event=None if last_event is None else int(last_event),
@@ -170,7 +170,7 @@
     )
 
   def encode_request(
-      self, request: messages.Request, send: messages.Send
+      self, request: messages.Request, send: messages.ForwardingInfo
   ) -> list[messages.Header]:
     """Returns the headers to send to an endpoint."""
     left_ms = max(1, int(send.time_left_s * 1000))
@@ -187,23 +187,23 @@
       headers.append((_LAST_EVENT_ID, b"%d" % send.last_event))
     return headers
 
-  def decode_answer(
+  def decode_response(
       self, status: int, headers: list[messages.Header]
-  ) -> messages.Answer:
+  ) -> messages.ResponseHead:
     """Decodes the head of an endpoint's answer."""
     by_name = dict(headers)
     content = by_name.get(b"content-type", b"")
-    return messages.Answer(
+    return messages.ResponseHead(
         status=status,
         request_id=by_name.get(_REQUEST_ID, b"").decode("latin-1"),
         signed=_RESPONSE_SIGNATURE in by_name,
         not_run=_NOT_EXECUTED in by_name,
         misdirected=status == _MISDIRECTED_REQUEST,
-        encoded=b"content-encoding" in by_name,
-        events=content.startswith(b"text/event-stream"),
+        has_content_encoding=b"content-encoding" in by_name,
+        is_event_stream=content.startswith(b"text/event-stream"),
         load=_parse_load(by_name.get(_SERVER_LOAD)),
-        idle_s=_parse_idle_timeout_s(by_name.get(b"keep-alive", b"")),
-        last_use=b"close" in _connection_options(headers),
+        idle_timeout_s=_parse_idle_timeout_s(by_name.get(b"keep-alive", b"")),
+        closes_connection=b"close" in _connection_options(headers),
         headers=_forwardable(headers, frozenset((_SERVER_LOAD,))),
     )
 
--- a/mustardfall/platform/process_settings.py
+++ b/mustardfall/platform/process_settings.py
@@ -192,7 +192,7 @@
           "retry_ratio": bounds.retry_ratio * _RETRY_MARGIN,
           "retry_burst": bounds.retry_slack
           * _RETRY_MARGIN
-          / members_lib.CLOSE_FLEET,
+          / members_lib.MAX_SMALL_FLEET,
       },
   }
   return ProcessSettings(
--- a/mustardfall/platform/store.py
+++ b/mustardfall/platform/store.py
@@ -11,9 +11,9 @@
 import pydantic
 
 from mustardfall import errors
-from mustardfall.kv import contact
+from mustardfall.kv import circuit_breaker
 from mustardfall.kv import protocol
-from mustardfall.proxy import calls as calls_lib
+from mustardfall.proxy import http_client as http_client_lib
 from mustardfall.util import clock as clock_lib
 
 logger = logging.getLogger(__name__)
@@ -117,11 +117,14 @@
   """
 
   def __init__(
-      self, address: str, caller: calls_lib.Caller, clock: clock_lib.Clock
+      self,
+      address: str,
+      caller: http_client_lib.HttpClient,
+      clock: clock_lib.Clock,
   ) -> None:
     self._address = address
     self._caller = caller
-    self._contact = contact.Contact(clock)
+    self._breaker = circuit_breaker.CircuitBreaker(clock)
 
   @property
   def calls(self) -> int:
@@ -131,7 +134,7 @@
   @property
   def reachable(self) -> bool:
     """Whether calls are answered: False after repeated failures."""
-    return not self._contact.lost
+    return not self._breaker.is_open
 
   async def close(self) -> None:
     """Does nothing: `caller` owns the connections."""
@@ -143,7 +146,7 @@
       body: dict[str, Any] | None = None,
       timeout_s: float = _CALL_TIMEOUT_S,
       bypass_breaker: bool = False,
-  ) -> calls_lib.Reply:
+  ) -> http_client_lib.Response:
     """Makes one call.
 
     Args:
@@ -158,7 +161,7 @@
       errors.KvUnavailableError: the call had no effect.
       errors.KvUnknownError: the call may have had an effect.
     """
-    if not bypass_breaker and not self._contact.may_try():
+    if not bypass_breaker and not self._breaker.allows_call():
       raise errors.KvUnavailableError(
           f"{method} {target}: not sent, store {self._address} is unreachable"
       )
@@ -168,19 +171,19 @@
           self._address, method, target, content, timeout_s
       )
     except errors.EndpointUnreachableError as exc:
-      self._contact.note(str(exc))
+      self._breaker.record(str(exc))
       raise errors.KvUnavailableError(str(exc)) from exc
     except errors.BrokenAnswerError as exc:
-      self._contact.note(str(exc))
+      self._breaker.record(str(exc))
       raise errors.KvUnknownError(str(exc)) from exc
     if reply.status in _NO_EFFECT:
-      self._contact.note(f"status {reply.status}")
+      self._breaker.record(f"status {reply.status}")
       raise errors.KvUnavailableError(f"{target}: status {reply.status}")
-    self._contact.note(None)
+    self._breaker.record(None)
     return reply
 
   def _parse(
-      self, reply: calls_lib.Reply, target: str, model: type[_Model]
+      self, reply: http_client_lib.Response, target: str, model: type[_Model]
   ) -> _Model:
     """Decodes a response.
 
--- a/mustardfall/proxy/admission.py
+++ b/mustardfall/proxy/admission.py
@@ -7,8 +7,8 @@
 from mustardfall import accounts as accounts_lib
 from mustardfall import metrics
 from mustardfall import settings
-from mustardfall.budget import comeback
 from mustardfall.budget import reserving
+from mustardfall.budget import retry_hint
 from mustardfall.proxy import http_server
 from mustardfall.proxy import messages
 from mustardfall.proxy import refusals
@@ -133,12 +133,12 @@
     context.reserve_wait_s = self._clock.monotonic() - started_at
     if context.reservation is not None:
       return
-    known = self._accounts.pool.known
-    whereabouts = known.whereabouts(budget)
-    if known.is_exhausted(budget, usage.max_tokens):
-      raise refusals.budget_exhausted(whereabouts)
+    budget_view = self._accounts.pool.budget_view
+    snapshot = budget_view.snapshot(budget)
+    if budget_view.is_exhausted(budget, usage.max_tokens):
+      raise refusals.budget_exhausted(snapshot)
     raise refusals.tokens_unavailable(
-        whereabouts, self._tokens_retry_after_s(context)
+        snapshot, self._tokens_retry_after_s(context)
     )
 
   def _tokens_retry_after_s(
@@ -147,7 +147,7 @@
     """Returns the seconds after which tokens may be available again."""
     remaining_s = context.deadline - self._clock.monotonic()
     return self.jittered_retry_after(
-        comeback.most_s(self._accounts.store_away, remaining_s)
+        retry_hint.max_retry_s(self._accounts.store_unreachable, remaining_s)
     )
 
   def bill(self, context: request_context_lib.RequestContext) -> None:
@@ -159,9 +159,9 @@
         context.used_tokens, request_log.metric_attributes(context)
     )
 
-  def jittered_retry_after(self, most_s: float) -> float:
+  def jittered_retry_after(self, max_retry_s: float) -> float:
     """Returns a random Retry-After between half of `most_s` and `most_s`.
 
     The jitter keeps callers that were refused together from retrying together.
     """
-    return round(most_s * (0.5 + 0.5 * self._random.random()), 3)
+    return round(max_retry_s * (0.5 + 0.5 * self._random.random()), 3)
--- a/mustardfall/proxy/crash_guard.py
+++ b/mustardfall/proxy/crash_guard.py
@@ -45,7 +45,7 @@
     Raises:
       refusals.RefusalError: the request must not be sent to any endpoint now.
     """
-    left_s = self._table.left_s(context.fingerprint)
+    left_s = self._table.remaining_s(context.fingerprint)
     if not left_s:
       return
     if context.may_have_run:
--- a/mustardfall/proxy/endpoint_selector.py
+++ b/mustardfall/proxy/endpoint_selector.py
@@ -25,7 +25,7 @@
   def __init__(
       self,
       context: request_context_lib.RequestContext,
-      place: placement.Place,
+      place: placement.Placement,
       directory: directory_lib.Directory,
       load_share: loadshare_lib.LoadShare,
       trackers: trackers_lib.Trackers,
@@ -36,15 +36,15 @@
     self._load_share = load_share
     self._trackers = trackers
     self._pending_prefill = request_context_lib.PendingPrefill(
-        place.row, place.reading_s
+        place.row, place.prefill_s
     )
     place.row.in_flight += 1
     prefix = request_context_lib.prompt_for_placement(context.request).prefix
     load_share.note_sent(place.row.life, prefix)
-    self._tracked_send: trackers_lib.Sent | None = None
+    self._tracked_send: trackers_lib.TrackedRequest | None = None
     if trackers.is_used:
       self._tracked_send = trackers.note_sent(
-          place.row.life, prefix, place.reading_s
+          place.row.life, prefix, place.prefill_s
       )
 
   def record_response_time(self, took_s: float) -> None:
@@ -52,14 +52,16 @@
     if not self._is_generation:
       return
     place = self._place
-    self._directory.endpoints.learn(place.row, place.answer_s, took_s)
+    self._directory.endpoints.update_slowness(place.row, place.answer_s, took_s)
     if self._tracked_send is not None:
-      self._trackers.note_first(self._tracked_send, place.answer_s, took_s)
+      self._trackers.note_first_token(
+          self._tracked_send, place.answer_s, took_s
+      )
 
   def end_prefill(self) -> None:
     """Records that the endpoint has processed the prompt."""
     self._pending_prefill.end()
-    self._load_share.note()
+    self._load_share.mark_changed()
 
   def end(self, failed: bool) -> None:
     """Records that the endpoint no longer works on the request."""
@@ -95,12 +97,12 @@
 
   async def select(
       self, context: request_context_lib.RequestContext
-  ) -> placement.Place | None:
+  ) -> placement.Placement | None:
     """Returns the endpoint expected to respond first; None if there is none.
 
     Endpoints that the request was not sent to yet are preferred.
     """
-    rows = self._directory.endpoints.fitting(context.service.name, "")
+    rows = self._directory.endpoints.eligible(context.service.name, "")
     untried = [row for row in rows if row.name not in context.tried_endpoints]
     prompt = request_context_lib.prompt_for_placement(context.request)
     if not self._trackers.is_used:
@@ -109,17 +111,17 @@
 
   async def _select_tracked(
       self, rows: list[endpoints.Row], prompt: placement.Prompt
-  ) -> placement.Place | None:
+  ) -> placement.Placement | None:
     """Queries the load of a few endpoints, and of more while those are busy."""
-    place, asked, standings = None, [], {}
+    place, asked, statuses = None, [], {}
     rounds = placement.candidates(rows, prompt, self._datacentre, self._random)
     for found in rounds:
       asked += found
       lives = [one.row.life for one in found]
       if len(rows) > 1:
-        standings |= await self._trackers.survey(lives, prompt.prefix)
+        statuses |= await self._trackers.survey(lives, prompt.prefix)
       place = placement.choose_tracked(
-          asked, standings, prompt, self._datacentre
+          asked, statuses, prompt, self._datacentre
       )
       if place is None or not placement.is_busy(place, prompt):
         break
@@ -128,10 +130,14 @@
   def record_unreachable(self, row: endpoints.Row) -> None:
     """Reports that an endpoint accepted no connection."""
     if self._trackers.is_used:
-      self._trackers.note_end(trackers_lib.Sent(row.life, ""), failed=True)
+      self._trackers.note_end(
+          trackers_lib.TrackedRequest(row.life, ""), failed=True
+      )
 
   def start_attempt(
-      self, context: request_context_lib.RequestContext, place: placement.Place
+      self,
+      context: request_context_lib.RequestContext,
+      place: placement.Placement,
   ) -> EndpointAttempt:
     """Counts a request as sent; the caller ends the returned attempt."""
     return EndpointAttempt(
--- a/mustardfall/proxy/forwarder.py
+++ b/mustardfall/proxy/forwarder.py
@@ -146,10 +146,10 @@
 
   def _retry_burst(self) -> float:
     """Returns the most retries that this router may accumulate per service."""
-    return retries.part_of_burst(
+    return retries.burst_per_router(
         self._config.proxy.retry_burst,
-        members_lib.CLOSE_FLEET,
-        self._fleet.most(),
+        members_lib.MAX_SMALL_FLEET,
+        self._fleet.peak(),
     )
 
   async def _serve(self, context: request_context_lib.RequestContext) -> None:
@@ -212,7 +212,9 @@
       raise refusals.no_endpoint(self._admission.jittered_retry_after(0.25))
 
   async def _attempt(
-      self, context: request_context_lib.RequestContext, place: placement.Place
+      self,
+      context: request_context_lib.RequestContext,
+      place: placement.Placement,
   ) -> None:
     """Sends the request to one endpoint and relays its response.
 
@@ -281,7 +283,7 @@
   async def _relay(
       self,
       context: request_context_lib.RequestContext,
-      place: placement.Place,
+      place: placement.Placement,
       exchange: exchange_lib.Exchange,
       may_have_run_before: bool,
       attempt: endpoint_selector_lib.EndpointAttempt,
--- a/mustardfall/proxy/internal.py
+++ b/mustardfall/proxy/internal.py
@@ -92,11 +92,13 @@
     await responder.respond(200, [], json.dumps(result).encode())
 
   async def _reserve(self, body: dict[str, Any]) -> dict[str, Any]:
-    handed = await self._accounts.pool.owner.serve_ask(peers.Ask(**body))
+    handed = await self._accounts.pool.owner.serve_part_request(
+        peers.ReserveRequest(**body)
+    )
     return handed._asdict()
 
   async def _settle(self, body: dict[str, Any]) -> dict[str, Any]:
-    ended = [peers.Ended(**row) for row in body["ended"]]
+    ended = [peers.EndedPart(**row) for row in body["ended"]]
     self._accounts.pool.owner.serve_settle(ended)
     return {}
 
--- a/mustardfall/proxy/refusals.py
+++ b/mustardfall/proxy/refusals.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from mustardfall.budget import known
+from mustardfall.budget import budget_view
 
 
 class RefusalError(Exception):
@@ -60,14 +60,16 @@
   return RefusalError(401, "unknown API key", facts={"version": version})
 
 
-def budget_exhausted(whereabouts: known.Whereabouts | None) -> RefusalError:
+def budget_exhausted(
+    whereabouts: budget_view.BudgetSnapshot | None,
+) -> RefusalError:
   """The budget cannot cover the request, whatever tokens are returned."""
   facts = whereabouts._asdict() if whereabouts else None
   return RefusalError(402, "budget used up", facts=facts)
 
 
 def tokens_unavailable(
-    whereabouts: known.Whereabouts | None, retry_after_s: float
+    whereabouts: budget_view.BudgetSnapshot | None, retry_after_s: float
 ) -> RefusalError:
   """The tokens are held by other routers, or the store is unreachable."""
   facts = whereabouts._asdict() if whereabouts else None
--- a/mustardfall/proxy/request_context.py
+++ b/mustardfall/proxy/request_context.py
@@ -77,14 +77,14 @@
   def __init__(self, row: endpoints.Row, seconds: float) -> None:
     self._row = row
     self._seconds = seconds
-    row.reading_s += seconds
+    row.prefill_s += seconds
 
   def end(self) -> None:
     """Removes it from the endpoint's load; may be called again.
 
     Called when the response begins or the request leaves the endpoint.
     """
-    self._row.reading_s -= self._seconds
+    self._row.prefill_s -= self._seconds
     self._seconds = 0.0
 
 
--- a/mustardfall/router.py
+++ b/mustardfall/router.py
@@ -205,9 +205,9 @@
     """Takes the router out of the balancer; it still serves."""
     self.stopping = True
 
-  async def hand_back(self) -> None:
+  async def return_allotments(self) -> None:
     """Hands every allotment back; called after the drain."""
-    await self.accounts.hand_back()
+    await self.accounts.return_allotments()
 
   async def finish(self) -> None:
     """Writes what is left, once other routers cannot call any more."""
--- a/tests/platformcase.py
+++ b/tests/platformcase.py
@@ -14,7 +14,7 @@
 from mustardfall.emulator import store as store_lib
 from mustardfall.platform import followers as followers_lib
 from mustardfall.platform import headers
-from mustardfall.platform import site as site_lib
+from mustardfall.platform import process_settings
 from mustardfall.platform import store as client_lib
 from mustardfall.util import clock as clock_lib
 
@@ -226,7 +226,9 @@
         await anyio.sleep(0.01)
 
 
-def site(store_port: int, name: str = "front-1") -> site_lib.Site:
+def site(
+    store_port: int, name: str = "front-1"
+) -> process_settings.ProcessSettings:
   """Returns the settings that the platform would give to a host."""
   given = {
       "node": name,
@@ -240,7 +242,7 @@
       "bounds": {"retry_ratio": 0.2, "retry_slack": 58, "grace_s": 3},
       "platform": {"address": f"127.0.0.1:{store_port}"},
   }
-  return site_lib.decode(given, ROUTER_SETTINGS)
+  return process_settings.decode(given, ROUTER_SETTINGS)
 
 
 @contextlib.asynccontextmanager
--- a/tests/test_clockcheck.py
+++ b/tests/test_clockcheck.py
@@ -70,7 +70,9 @@
   def test_clock_that_agrees_with_most_has_an_error_bound(self):
     check = self._check(0.0, [0.0, 0.01, -2.4, 0.0])
     self.assertTrue(check.agrees)
-    self.assertTrue(check.with_error_bound(self.clock.moment()).agreed)
+    self.assertTrue(
+        check.with_error_bound(self.clock.moment()).wall_clock_agreed
+    )
 
   def test_stepped_clock_does_not_agree(self):
     self.assertFalse(self._check(-2.4, [0.0, 0.0, 0.0, 0.0]).agrees)
@@ -98,5 +100,7 @@
     before = self.clock.moment()
     self.clock.step_s = 2.4
     self.assertFalse(check.agrees)
-    self.assertTrue(check.with_error_bound(before).agreed)
-    self.assertFalse(check.with_error_bound(self.clock.moment()).agreed)
+    self.assertTrue(check.with_error_bound(before).wall_clock_agreed)
+    self.assertFalse(
+        check.with_error_bound(self.clock.moment()).wall_clock_agreed
+    )
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -29,7 +29,7 @@
 from mustardfall.membership import loadshare
 from mustardfall.membership import members as members_lib
 from mustardfall.platform import store as store_lib
-from mustardfall.proxy import calls
+from mustardfall.proxy import http_client
 from mustardfall.routing import endpoints
 from mustardfall.routing import loads as loads_lib
 from mustardfall.util import clock as clock_lib
@@ -195,7 +195,7 @@
     ]
     began = time.process_time()
     for report in reports:
-      router.loads.take(report, 0.0)
+      router.loads.apply_report(report, 0.0)
     each = (time.process_time() - began) / len(reports)
     self.assertTrue(30 * each <= _CONTROL_SHARE / 4, each)
 
@@ -322,4 +322,4 @@
 
   def _reply(self, **fields):
     whole = {"store_revision": len(self._items), **fields}
-    return calls.Reply(200, json.dumps(whole).encode())
+    return http_client.Response(200, json.dumps(whole).encode())
--- a/tests/test_known.py
+++ b/tests/test_known.py
@@ -137,7 +137,7 @@
     clock = clock_lib.FakeClock()
     config = settings.Membership()
     self.view = members.Members(None, everyone[0], config, clock, events.Bus())
-    self.view.take(everyone)
+    self.view.update(everyone)
     return budget_view.BudgetView(
         settings.Allotment(),
         clock,
--- a/tests/test_platform_headers.py
+++ b/tests/test_platform_headers.py
@@ -29,7 +29,7 @@
         ("shop.example", "/a/b"), (request.authority, request.path)
     )
     self.assertEqual(b"/a/b?c", request.target)
-    self.assertEqual(1.5, request.patience_s)
+    self.assertEqual(1.5, request.caller_timeout_s)
     self.assertEqual(messages.Usage(1460, 80), request.usage)
     self.assertEqual([("5c1e", 800), ("91bd", 410)], list(request.parts))
     self.assertEqual(("key", 12), (request.api_key, request.last_event))
@@ -60,7 +60,7 @@
   @given(st.floats(0.001, 100), st.integers(0, 20), st.none() | st.integers(0))
   def test_forwarded_headers(self, left_s, priority, last):
     request = _decode((b"token-usage", b"10,20"), (b"tenant", b"forged"))
-    send = messages.Send("i-1", "acme", left_s, priority, last)
+    send = messages.ForwardingInfo("i-1", "acme", left_s, priority, last)
     sent = dict(headers.Dialect().encode_request(request, send))
     self.assertEqual(b"acme", sent[b"tenant"])
     self.assertTrue(1 <= int(sent[b"deadline-ms"]) <= max(1, left_s * 1000))
@@ -71,7 +71,7 @@
 class AnswerTest(testtools.TestCase):
 
   def _decode(self, status=200, *extra):
-    return headers.Dialect().decode_answer(status, [*extra])
+    return headers.Dialect().decode_response(status, [*extra])
 
   def test_not_run_only_if_the_server_says_so(self):
     # A request answered with 503 but without this header may have run. If it
@@ -85,6 +85,8 @@
         200, (b"server-load", b"3,1,8"), (b"keep-alive", b"timeout=5, max=9")
     )
     self.assertEqual(messages.Load(3, 1, 8), answer.load)
-    self.assertEqual(5.0, answer.idle_s)
+    self.assertEqual(5.0, answer.idle_timeout_s)
     self.assertIsNone(self._decode(200, (b"server-load", b"x")).load)
-    self.assertTrue(self._decode(200, (b"connection", b"Close")).last_use)
+    self.assertTrue(
+        self._decode(200, (b"connection", b"Close")).closes_connection
+    )
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -12,8 +12,8 @@
 from mustardfall.emulator import store as emulated
 from mustardfall.kv import protocol
 from mustardfall.platform import store as client_lib
-from mustardfall.proxy import calls
-from mustardfall.proxy import links
+from mustardfall.proxy import connection_pool
+from mustardfall.proxy import http_client
 from mustardfall.util import clock as clock_lib
 
 
@@ -25,8 +25,9 @@
       clock = clock_lib.SystemClock()
       server = emulated.Store(clock)
       port = fleet.free_port()
-      caller = calls.Caller(
-          links.Links(clock), overhead.Overhead(metrics.Instruments("r"))
+      caller = http_client.HttpClient(
+          connection_pool.ConnectionPool(clock),
+          overhead.Overhead(metrics.Instruments("r")),
       )
       client = client_lib.Store(f"127.0.0.1:{port}", caller, clock)
       with anyio.fail_after(20):
--- a/tests/test_pool_states.py
+++ b/tests/test_pool_states.py
@@ -144,7 +144,7 @@
     boot_s, wall_s, _ = self._clock.moment()
     return clock_lib.Moment(boot_s + self.boot_s, wall_s + self.step_s)
 
-  def started(self):
+  def process_start(self):
     return self.moment()
 
 
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -32,14 +32,14 @@
       lives: how often all routers are started during these requests; in the
         first life their budgets are full.
     """
-    burst = _SLACK * _SAFETY / members_lib.CLOSE_FLEET
+    burst = _SLACK * _SAFETY / members_lib.MAX_SMALL_FLEET
     made = 0
     for number in range(routers * requests_each):
       if number % (requests_each // lives) == 0:
         budget = retries.RetryBudget(
             _RATIO * _SAFETY,
             lambda: retries.burst_per_router(
-                burst, members_lib.CLOSE_FLEET, routers
+                burst, members_lib.MAX_SMALL_FLEET, routers
             ),
         )
         if number % requests_each == 0:
--- a/tests/test_server_entries.py
+++ b/tests/test_server_entries.py
@@ -17,7 +17,7 @@
 from mustardfall.routing import directory
 from mustardfall.util import clock as clock_lib
 
-_ENTRY = {
+ENTRY = {
     "service": "pool",
     "address": "10.0.0.1:80",
     "zone": "dc",
@@ -62,7 +62,7 @@
   if defect == "json":
     return json.dumps(draw(_JSON)).encode()
   field = draw(strategies.sampled_from(sorted(_INVALID_VALUES)))
-  entry = dict(_ENTRY)
+  entry = dict(ENTRY)
   if defect == "type" or field == "born":
     entry[field] = draw(_INVALID_VALUES[field])
   else:
@@ -100,9 +100,9 @@
 class _Notices:
   """Fake notices: none ever arrives."""
 
-  tells = False
+  is_announcer = False
 
-  def agrees(self, name):
+  def is_up_to_date(self, name):
     del name
     return True
 
@@ -126,7 +126,7 @@
     self.accounts = _Accounts()
 
   async def take_endpoints(self, hosts):
-    self.directory.take_endpoints(hosts)
+    self.directory.apply_endpoints(hosts)
 
 
 class _Fixture:
@@ -141,8 +141,8 @@
   def read(self) -> list[str]:
     """Reads the list once; returns the servers that may get requests."""
     anyio.run(self.followers.servers.read)
-    fitting = self.gateway.directory.endpoints.fitting("pool", "")
-    return sorted(row.name for row in fitting)
+    eligible = self.gateway.directory.endpoints.eligible("pool", "")
+    return sorted(row.name for row in eligible)
 
 
 class InvalidEntryTest(testtools.TestCase):
@@ -154,41 +154,41 @@
     # requests would go on to servers that have left, and new servers would
     # get none.
     fixture = _Fixture()
-    fixture.store.write("a", _ENTRY)
+    fixture.store.write("a", ENTRY)
     fixture.store.write("bad", raw)
-    fixture.store.write("z", _ENTRY | {"address": "10.0.0.2:80"})
+    fixture.store.write("z", ENTRY | {"address": "10.0.0.2:80"})
     self.assertEqual(["a", "z"], fixture.read())
-    fixture.store.write("a", _ENTRY | {"state": "draining"})
-    fixture.store.write("y", _ENTRY | {"address": "10.0.0.3:80"})
+    fixture.store.write("a", ENTRY | {"state": "draining"})
+    fixture.store.write("y", ENTRY | {"address": "10.0.0.3:80"})
     self.assertEqual(["y", "z"], fixture.read())
 
   @hypothesis.given(raw=_invalid_entries())
   @hypothesis.settings(max_examples=100, deadline=None)
   def test_server_with_overwritten_entry_gets_no_work_until_repaired(self, raw):
     fixture = _Fixture()
-    fixture.store.write("a", _ENTRY)
+    fixture.store.write("a", ENTRY)
     self.assertEqual(["a"], fixture.read())
     fixture.store.write("a", raw)
     self.assertEqual([], fixture.read())
-    fixture.store.write("a", _ENTRY)
+    fixture.store.write("a", ENTRY)
     self.assertEqual(["a"], fixture.read())
 
   def test_entry_nested_too_deeply_for_the_parser(self):
     fixture = _Fixture()
-    fixture.store.write("a", _ENTRY)
+    fixture.store.write("a", ENTRY)
     fixture.store.write("bad", b"[" * 100_000)
     self.assertEqual(["a"], fixture.read())
 
   def test_id_that_is_no_valid_header_value(self):
     fixture = _Fixture()
-    fixture.store.write("a", _ENTRY)
-    fixture.store.write("b\r\nTenant: x", _ENTRY)
+    fixture.store.write("a", ENTRY)
+    fixture.store.write("b\r\nTenant: x", ENTRY)
     self.assertEqual(["a"], fixture.read())
 
   def test_servers_of_other_services_are_not_eligible(self):
     fixture = _Fixture()
-    fixture.store.write("a", _ENTRY)
-    fixture.store.write("b", _ENTRY | {"service": "other"})
+    fixture.store.write("a", ENTRY)
+    fixture.store.write("b", ENTRY | {"service": "other"})
     self.assertEqual(["a"], fixture.read())
 
 
@@ -199,19 +199,17 @@
     # are kept after it crashed and restarted under the same id, which made
     # requests with long prompts wait.
     fixture = _Fixture()
-    fixture.store.write("a", _ENTRY)
+    fixture.store.write("a", ENTRY)
     fixture.read()
     table = fixture.gateway.directory.endpoints
     old = table.rows["a"]
     table.note_prefix(old.life, "p", 0.0)
     old.in_flight, old.failures, old.slowness, old.running = 3, 2, 4.0, 9.0
-    fixture.store.write(
-        "a", _ENTRY | {"born": _ENTRY["born"] + 5_000, "seq": 1}
-    )
+    fixture.store.write("a", ENTRY | {"born": ENTRY["born"] + 5_000, "seq": 1})
     fixture.read()
     new = table.rows["a"]
     self.assertEqual(({}, 0, 0, 1.0, 0.0), _learned_state(new))
-    self.assertTrue(new.fresh)
+    self.assertTrue(new.cold_cache)
     # Requests and reports of the previous process still refer to its row.
     old.in_flight -= 1
     table.note_prefix(old.life, "p", 0.0)
@@ -219,10 +217,10 @@
 
   def test_running_server_keeps_its_learned_state(self):
     fixture = _Fixture()
-    fixture.store.write("a", _ENTRY)
+    fixture.store.write("a", ENTRY)
     fixture.read()
     row = fixture.gateway.directory.endpoints.rows["a"]
-    fixture.store.write("a", _ENTRY | {"seq": 5})
+    fixture.store.write("a", ENTRY | {"seq": 5})
     fixture.read()
     self.assertIs(row, fixture.gateway.directory.endpoints.rows["a"])
 
--- a/tests/test_slow_links.py
+++ b/tests/test_slow_links.py
@@ -16,8 +16,8 @@
 from mustardfall import overhead
 from mustardfall.bench import fleet
 from mustardfall.platform import store as store_lib
-from mustardfall.proxy import calls
-from mustardfall.proxy import links as links_lib
+from mustardfall.proxy import connection_pool as connection_pool_lib
+from mustardfall.proxy import http_client
 from mustardfall.util import clock as clock_lib
 from tests import platformcase
 
@@ -90,8 +90,8 @@
       slow, port = _SlowStore(), fleet.free_port()
       slow.stops_after = stops_after or slow.stops_after
       clock = clock_lib.SystemClock()
-      caller = calls.Caller(
-          links_lib.Links(clock),
+      caller = http_client.HttpClient(
+          connection_pool_lib.ConnectionPool(clock),
           overhead.Overhead(metrics.Instruments("r")),
       )
       store = store_lib.Store(f"127.0.0.1:{port}", caller, clock)
@@ -123,7 +123,7 @@
 
   def test_answer_that_trickles_fails(self):
     """Guards against a call kept open for ever by single bytes."""
-    with mock.patch.object(calls, "_MOST_TRANSFER_S", 0.3):
+    with mock.patch.object(http_client, "_MAX_TRANSFER_S", 0.3):
       self.assertTrue(self._read(_expect_failure))
 
 
--- a/tests/test_tracking.py
+++ b/tests/test_tracking.py
@@ -180,22 +180,22 @@
 
   def __init__(self, network: _Network, host: str) -> None:
     self._network, self._host = network, host
-    self._takers = {}
+    self._handlers = {}
     self.sent = 0
 
   def connect(self, kind, take):
-    self._takers[kind] = lambda content, sender: take(content)
+    self._handlers[kind] = lambda content, sender: take(content)
 
   def connect_with_sender(self, kind, take):
-    self._takers[kind] = take
+    self._handlers[kind] = take
 
-  def post(self, kind, content, member):
-    self.post_to(kind, content, datagrams._host_of(member))
+  def enqueue(self, kind, content, member):
+    self.enqueue_to(kind, content, datagrams._host_of(member))
 
-  def post_to(self, kind, content, host):
+  def enqueue_to(self, kind, content, host):
     self.sent += 1
     if host not in self._network.dead:
-      self._network.ports[host]._takers[kind](content, self._host)
+      self._network.ports[host]._handlers[kind](content, self._host)
 
 
 def _member(i: int) -> members_lib.Member:
@@ -215,7 +215,7 @@
       view = members_lib.Members(
           None, me, settings.Membership(), self.clock, events.Bus()
       )
-      view.take(everyone)
+      view.update(everyone)
       self.routers.append(
           trackers.Trackers(view, self.network.port(me), self.clock)
       )
@@ -261,7 +261,7 @@
       trackers.Trackers(view, port, self.clock)
       for kind in (b"q", b"a", b"t"):
         for raw in (b"", b"[]", b"{}", b"3", b'["sent"]', b"[1,2,3]", b"\xff"):
-          port._take(kind + raw, "10.1.0.9")
-        port._take(kind + b"[" * 50_000, "10.1.0.9")
+          port._handle(kind + raw, "10.1.0.9")
+        port._handle(kind + b"[" * 50_000, "10.1.0.9")
 
     virtual.run(go)
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -136,7 +136,9 @@
       await anyio.sleep(0.35)
 
   def unaware(self, request: str) -> list[int]:
-    return [n for n, table in self.tables.items() if not table.left_s(request)]
+    return [
+        n for n, table in self.tables.items() if not table.remaining_s(request)
+    ]
 
 
 def _member(i: int) -> members_lib.Member:
@@ -165,7 +167,7 @@
 
   @in_fleet
   async def test_verdict_reaches_all(self, fleet):
-    await fleet.crash_endpoints("x", quarantine.LIMIT)
+    await fleet.crash_endpoints("x", quarantine.CRASH_LIMIT)
     self.assertEqual([], fleet.unaware("x"))
 
   @in_fleet
@@ -174,7 +176,7 @@
   ):
     """Guards against routers that missed the datagrams and run the request."""
     fleet.net.lost = 0.2
-    await fleet.crash_endpoints("x", quarantine.LIMIT)
+    await fleet.crash_endpoints("x", quarantine.CRASH_LIMIT)
     await anyio.sleep(_DEADLINE_S)
     self.assertEqual([], fleet.unaware("x"))
 
@@ -183,14 +185,14 @@
       self, fleet
   ):
     fleet.store.unavailable = True
-    await fleet.crash_endpoints("x", quarantine.LIMIT)
+    await fleet.crash_endpoints("x", quarantine.CRASH_LIMIT)
     await anyio.sleep(_DEADLINE_S)
     self.assertEqual([], fleet.unaware("x"))
 
   @in_fleet
   async def test_verdict_reaches_all_after_all_restarted(self, fleet):
     """Guards against a request that is admitted again after a loss of power."""
-    await fleet.crash_endpoints("x", quarantine.LIMIT)
+    await fleet.crash_endpoints("x", quarantine.CRASH_LIMIT)
     before = fleet.store.calls
     fleet.restart_all()
     self.assertEqual(_ROUTERS, len(fleet.unaware("x")))
@@ -200,7 +202,7 @@
 
   @in_fleet
   async def test_crashes_below_the_limit_give_no_verdict(self, fleet):
-    await fleet.crash_endpoints("x", quarantine.LIMIT - 1)
+    await fleet.crash_endpoints("x", quarantine.CRASH_LIMIT - 1)
     await anyio.sleep(_DEADLINE_S)
     self.assertEqual(_ROUTERS, len(fleet.unaware("x")))
 
@@ -208,7 +210,7 @@
   async def test_request_that_succeeds_is_admitted_again_everywhere(
       self, fleet
   ):
-    await fleet.crash_endpoints("x", quarantine.LIMIT)
+    await fleet.crash_endpoints("x", quarantine.CRASH_LIMIT)
     fleet.verdicts[11].note_success("x")
     await anyio.sleep(0.3)
     self.assertEqual(_ROUTERS, len(fleet.unaware("x")))
@@ -227,12 +229,14 @@
     await anyio.sleep(1.5)
     self.assertEqual(calls, fleet.store.calls)
     self.assertTrue(fleet.net.sent - sent <= 3 * 24, fleet.net.sent - sent)
-    await fleet.crash_endpoints("beside1", quarantine.LIMIT - 1, offset=20)
+    await fleet.crash_endpoints(
+        "beside1", quarantine.CRASH_LIMIT - 1, offset=20
+    )
     self.assertEqual(_ROUTERS, len(fleet.unaware("beside1")))
 
   @in_fleet
   async def test_malformed_entries_are_skipped(self, fleet):
-    await fleet.crash_endpoints("x", quarantine.LIMIT)
+    await fleet.crash_endpoints("x", quarantine.CRASH_LIMIT)
     for number, value in enumerate((b"", b"3", b"[1]", b"[1, 2, {}]", b"\xff")):
       key = f"{verdicts_lib.PREFIX}{number}"
       fleet.store.records[key] = protocol.Record(key, value, 1, 0)
@@ -242,7 +246,7 @@
 
   @in_fleet
   async def test_gossip_does_not_grow_with_the_fleet(self, fleet):
-    await fleet.crash_endpoints("x", quarantine.LIMIT)
+    await fleet.crash_endpoints("x", quarantine.CRASH_LIMIT)
     await anyio.sleep(1.0)
     before = fleet.net.sent
     await anyio.sleep(10.0)
