--- a/mustardfall/budget/acquiring.py
+++ b/mustardfall/budget/acquiring.py
@@ -263,7 +263,7 @@
       customer: str,
   ) -> bool:
     """Asks a router for a part; returns whether its answer is final."""
-    part = self._table.new_gid()
+    part = self._table.new_id()
     request = peers_lib.ReserveRequest(budget, customer, part, least, want)
     answer = await self._peers.reserve(router, request)
     if answer is None:
--- a/mustardfall/budget/allotment.py
+++ b/mustardfall/budget/allotment.py
@@ -192,7 +192,7 @@
     self._written_off_parts: dict[str, str] = {}
     """Parts written off together with a settled row, and their budgets."""
 
-  def new_gid(self) -> str:
+  def new_id(self) -> str:
     """Returns a grant id that is unique within this router's life."""
     return f"{self._life}:{next(self._ids)}"
 
--- a/mustardfall/budget/granting.py
+++ b/mustardfall/budget/granting.py
@@ -172,7 +172,7 @@
         share = holding.equal_share(sizing, self._config)
     row = self._table.growable_row(budget)
     base = row.granted if row is not None else 0
-    gid = row.gid if row is not None else self._table.new_gid()
+    gid = row.gid if row is not None else self._table.new_id()
     asked_at = self._clock.monotonic()
     ceiling = self.issue_ceiling(budget, row, least)
     change = ledger.Grant(gid, least, want, share, margin, limit, base, ceiling)
--- a/tests/test_allotment.py
+++ b/tests/test_allotment.py
@@ -8,7 +8,7 @@
 
 def _table() -> allotment.Table:
   table = allotment.Table("r1:e", settings.Allotment())
-  table.add("b", table.new_gid(), 100, 0.0)
+  table.add("b", table.new_id(), 100, 0.0)
   return table
 
 
@@ -40,7 +40,7 @@
     # Only KV grants may be delegated: the ledger could not settle a part of a
     # part whose owner is gone.
     table = allotment.Table("r1:e", settings.Allotment())
-    table.add("b", table.new_gid(), 100, 0.0, source="r3:e", source_gid="g")
+    table.add("b", table.new_id(), 100, 0.0, source="r3:e", source_gid="g")
     self.assertEqual((0, ""), table.delegate("b", "r2:e:1", 10, 40, 1.0))
 
   def test_overrun_is_billed_and_shown(self):
