--- a/mustardfall/accounts.py
+++ b/mustardfall/accounts.py
@@ -29,7 +29,7 @@
 
 
 class Accounts:
-  """A router's share of the budgets, and the routers it shares them with.
+  """Creates and runs the budget and membership components of one router.
 
   Args:
     config: the router's complete settings.
@@ -109,7 +109,7 @@
 
   @property
   def store_unreachable(self) -> bool:
-    """Whether no new tokens can be granted because the store does not answer."""
+    """Whether no new tokens can be granted as the store does not answer."""
     return not self._kv.reachable
 
   def balance(self, budget: str) -> ledger.Balance | None:
@@ -155,7 +155,10 @@
       await self.pool.settle_parts()
 
   async def return_allotments(self) -> None:
-    """Returns every allotment and leaves the membership, after the drain."""
+    """Leaves the membership, then returns every allotment.
+
+    Called after the drain.
+    """
     await self.members.leave()
     await self.pool.stop()
 
@@ -165,7 +168,7 @@
     pause_s: float,
     on_failure: Callable[[], None],
 ) -> None:
-  """Runs a loop, restarting it whenever it fails, until cancelled.
+  """Runs a loop until cancelled, restarting it when it fails or returns.
 
   A fault in one loop must not end the process: that would break every open
   stream and write off this router's allotments.
--- a/mustardfall/budget/acquiring.py
+++ b/mustardfall/budget/acquiring.py
@@ -54,20 +54,20 @@
   """A grant request or refill in progress."""
 
   def __init__(self) -> None:
-    self.kv_replied = anyio.Event()
-    """Set once the KV has answered or its call has failed."""
+    self.kv_call_ended = anyio.Event()
+    """Set once the KV has answered or the request has ended without that."""
     self.done = anyio.Event()
-    self.answered = False
+    self.kv_answered = False
     """Whether the KV answered."""
 
-  def note_answer(self) -> None:
+  def set_answered(self) -> None:
     """Records that the KV has answered."""
-    self.answered = True
-    self.kv_replied.set()
+    self.kv_answered = True
+    self.kv_call_ended.set()
 
   def end(self) -> None:
     """Wakes all waiting requests."""
-    self.kv_replied.set()
+    self.kv_call_ended.set()
     self.done.set()
 
 
@@ -119,12 +119,14 @@
     """Grant requests and refills in progress, by budget."""
     self._grant_requests: list[_GrantRequest] = []
     self._refills_due: dict[str, str] = {}
-    """Budgets that run low, and their customers."""
+    """Budgets due for a refill, and the customer whose policy applies to each.
+    """
     self._wake = anyio.Event()
-    self._refill_at: dict[str, float] = {}
-    """Earliest time of the next refill of a budget that could not cover one."""
-    self._unseen_ledgers: set[str] = set()
-    """Budgets whose first grant was sized without having read their ledger."""
+    self._next_refill_at: dict[str, float] = {}
+    """Earliest time of the next refill, for budgets whose last refill was
+    skipped or left them short."""
+    self._undersized_grants: set[str] = set()
+    """Budgets whose first grant was sized before their ledger was read."""
     self.stopping = False
 
   async def reserve(
@@ -139,14 +141,14 @@
 
   def refill_if_low(self, budget: str, customer: str) -> None:
     """Schedules a refill if the budget will soon run short on this router."""
-    if self._runs_low(budget) or self._table.nears_ceiling(budget):
+    if self._needs_refill(budget) or self._table.nears_ceiling(budget):
       self._schedule_refill(budget, customer)
 
-  def _runs_low(self, budget: str) -> bool:
+  def _needs_refill(self, budget: str) -> bool:
     """Whether the budget's unused tokens on this router call for a refill."""
     target = self._budget_view.target(budget)
     if target is None or self._budget_view.owner(budget) is not None:
-      return self._table.running_low(budget)
+      return self._table.is_below_low_mark(budget)
     return self._table.undrawn(budget) < target * self._config.low_mark
 
   def prefetch(self) -> None:
@@ -233,10 +235,13 @@
   async def request_grant(
       self, budget: str, least: int, customer: str, as_owner: bool
   ) -> bool:
-    """Waits a limited time for a grant; returns whether the KV has answered.
+    """Waits a limited time for a grant.
 
     The request runs in the background. If it ran in the caller's task, a caller
     that disconnects could leave a grant in the ledger that no row records.
+
+    Returns:
+      True if the tokens are available or the KV has answered in time.
     """
     if self._can_reserve(budget, least):
       return True
@@ -248,11 +253,11 @@
       )
       self._wake.set()
     with anyio.move_on_after(_KV_WAIT_S):
-      await pending.kv_replied.wait()
-    if pending.answered:
+      await pending.kv_call_ended.wait()
+    if pending.kv_answered:
       with anyio.move_on_after(_RECALL_WAIT_S):
         await pending.done.wait()
-    return pending.answered
+    return pending.kv_answered
 
   async def _request_part(
       self,
@@ -337,10 +342,10 @@
     raised = await self._granter.raise_ceiling(budget, least)
     if raised is not None:
       if raised:
-        pending.note_answer()
+        pending.set_answered()
       return
     margin = self._budget_view.policy_of(customer).margin
-    unseen = budget not in self._budget_view.ledgers
+    ledger_unread = budget not in self._budget_view.ledgers
     # A router that replaces the owner takes only what is needed now: a larger
     # reserve would be idle once the owner answers again.
     demand = max(least, self._demand.get(budget, 0))
@@ -348,13 +353,13 @@
     state = await self._granter.grant(budget, least, want, margin, as_owner)
     if state is None:
       return
-    pending.note_answer()
+    pending.set_answered()
     if self._table.can_reserve(budget, least):
-      if as_owner and unseen:
+      if as_owner and ledger_unread:
         # The first grant is small, as it was sized without having read the
         # ledger. It is enlarged now rather than at the next request, which may
         # come while the store is unavailable.
-        self._unseen_ledgers.add(budget)
+        self._undersized_grants.add(budget)
         self._schedule_refill(budget, customer)
       return
     recalled = await self._recaller.recall(budget, state)
@@ -375,15 +380,21 @@
       pending.end()
 
   async def _refill_budget(self, budget: str, customer: str) -> None:
-    """Raises the tokens held of a budget to their target."""
+    """Refills a budget as far as it needs it.
+
+    Raises the ceiling if draws will soon reach it. If tokens then run low,
+    requests a part from the owner, or a larger grant from the KV if no other
+    router owns the budget. Requests nothing while the budget is known to be
+    unable to cover a refill.
+    """
     now = self._clock.monotonic()
-    unseen = budget in self._unseen_ledgers
-    self._unseen_ledgers.discard(budget)
+    undersized = budget in self._undersized_grants
+    self._undersized_grants.discard(budget)
     if self._table.nears_ceiling(budget) and not self.stopping:
       await self._granter.raise_ceiling(budget, 0)
-    if self.stopping or not (unseen or self._runs_low(budget)):
+    if self.stopping or not (undersized or self._needs_refill(budget)):
       return
-    if now < self._refill_at.get(budget, -float("inf")):
+    if now < self._next_refill_at.get(budget, -float("inf")):
       return
     owner = self._budget_view.owner(budget)
     size = self._table.grant_size if owner is None else self._table.part_size
@@ -394,16 +405,16 @@
     if owner is not None:
       await self._request_part(owner, budget, least, want, customer)
       return
-    if not (unseen or self._granter.is_refill_worthwhile(budget)):
-      self._refill_at[budget] = now + _REFILL_PAUSE_S
+    if not (undersized or self._granter.is_refill_worthwhile(budget)):
+      self._next_refill_at[budget] = now + _REFILL_PAUSE_S
       return
     margin = self._budget_view.policy_of(customer).margin
     await self._granter.grant(budget, least, want, margin)
-    if self._runs_low(budget):
-      self._refill_at[budget] = now + _REFILL_PAUSE_S
+    if self._needs_refill(budget):
+      self._next_refill_at[budget] = now + _REFILL_PAUSE_S
 
   def prune(self, before: float) -> None:
-    """Drops the state of budgets that have been idle since `before`."""
-    for budget, at in list(self._refill_at.items()):
+    """Drops refill times earlier than `before`."""
+    for budget, at in list(self._next_refill_at.items()):
       if at < before:
-        del self._refill_at[budget]
+        del self._next_refill_at[budget]
--- a/mustardfall/budget/allotment.py
+++ b/mustardfall/budget/allotment.py
@@ -1,10 +1,11 @@
-"""A router's allotments: tokens granted from budgets and spent locally.
+"""A router's allotments: tokens obtained from budgets and drawn on locally.
 
 Requests reserve tokens before they are forwarded and settle the actual usage
 afterwards, all in memory. A router may delegate parts of an allotment to other
 routers. The table has one row per allotment. `tick` updates each budget's draw
 rate, retires rows whose term has ended and removes finished rows, which the
-caller then settles.
+caller then settles. The terms (router life, drawn, used) are defined in
+`ledger`.
 """
 
 import dataclasses
@@ -31,7 +32,7 @@
 
 
 @dataclasses.dataclass
-class Part:
+class DelegatedPart:
   """Tokens of a row delegated to another router and not yet settled by it."""
 
   tokens: int
@@ -46,7 +47,7 @@
   at: float
   """Time of issue, monotonic seconds."""
   slack: int
-  """Tokens that it allowed beyond those in use at the time of issue."""
+  """Tokens that it permitted beyond those in use at the time of issue."""
 
 
 @dataclasses.dataclass
@@ -55,6 +56,7 @@
 
   budget: str
   gid: str
+  """Id of the grant, or of the part if `source` is set."""
   granted: int
   acquired_at: float
   source: str = ""
@@ -69,7 +71,7 @@
   used: int = 0
   """Tokens used by this router's finished requests."""
   in_flight: int = 0
-  parts: dict[str, Part] = dataclasses.field(default_factory=dict)
+  parts: dict[str, DelegatedPart] = dataclasses.field(default_factory=dict)
   parts_used: dict[str, int] = dataclasses.field(default_factory=dict)
   lost_parts: dict[str, int] = dataclasses.field(default_factory=dict)
   """Tokens of parts whose holder is gone; the holder may still return."""
@@ -84,10 +86,10 @@
   ceiling: float = math.inf
   """Tokens that may be in use under these ceilings, as of the last
   `update_ceiling`."""
-  last_drawn_at: float = -math.inf
+  last_active_at: float = -math.inf
   """When a reservation or delegation was last made or in flight, as of the last
   tick."""
-  last_drawn: int = 0
+  drawn_at_last_tick: int = 0
   """Tokens in use at the last tick."""
 
   @property
@@ -106,26 +108,28 @@
     return int(min(self.granted, self.ceiling)) - self.drawn
 
   def update_ceiling(self, now: float, renewed_at: float) -> None:
-    """Recomputes how many tokens the issued ceilings allow now.
+    """Recomputes how many tokens the issued ceilings permit now.
 
     The lowest one applies: after a lost reply the ledger may hold either the
     new ceiling or the previous one. Each grows from its issue or from the last
     renewal, whichever is later.
     """
     allowed = (
-        p.ceiling.allowed_after(now - max(p.at, renewed_at))
-        for p in self.issued_ceilings
+        issued.ceiling.allowed_after(now - max(issued.at, renewed_at))
+        for issued in self.issued_ceilings
     )
     self.ceiling = min(allowed, default=math.inf)
 
   @property
   def within_issued_ceilings(self) -> bool:
     """Whether use is within all ceilings as issued, without their growth."""
-    return all(self.drawn <= p.ceiling.tokens for p in self.issued_ceilings)
+    return all(
+        self.drawn <= issued.ceiling.tokens for issued in self.issued_ceilings
+    )
 
   @property
   def unconsumed(self) -> int:
-    """Tokens that are free, reserved or delegated, but not known to be used."""
+    """Granted tokens that are not known to be used."""
     return self.granted - self.used - sum(self.parts_used.values())
 
   @property
@@ -193,7 +197,7 @@
     """Parts written off together with a settled row, and their budgets."""
 
   def new_id(self) -> str:
-    """Returns a grant id that is unique within this router's life."""
+    """Returns an id for a grant or a part, unique within this router's life."""
     return f"{self._life}:{next(self._ids)}"
 
   def grant_size(self, budget: str, tokens: int) -> int:
@@ -223,15 +227,15 @@
       self.rows[gid].update_ceiling(now, self.renewed_at)
 
   def free(self, budget: str) -> int:
-    """Returns the tokens that may be reserved now in the budget's active rows."""
+    """Returns the tokens that the budget's active rows can reserve now."""
     rows = [self.rows[gid] for gid in self.by_budget.get(budget, ())]
     return sum(row.free for row in rows if not row.retiring)
 
   def at_risk(self, budget: str) -> int:
     """Returns the tokens that would be lost if this router died now.
 
-    These are free tokens, parts held by others and the reservations of requests
-    in flight; tokens known to be used are not lost.
+    These are all granted tokens except those known to be used: undrawn tokens,
+    parts held by others, and reservations of requests in flight.
     """
     rows = [self.rows[gid] for gid in self.by_budget.get(budget, ())]
     return sum(max(row.unconsumed, 0) for row in rows if not row.source)
@@ -241,7 +245,7 @@
     rows = [self.rows[gid] for gid in self.by_budget.get(budget, ())]
     return sum(row.undrawn for row in rows if not row.retiring)
 
-  def running_low(self, budget: str) -> bool:
+  def is_below_low_mark(self, budget: str) -> bool:
     """Whether the budget's unused tokens are below the low mark.
 
     The low mark is a share of the size that a grant or part should have, not of
@@ -249,8 +253,10 @@
     used.
     """
     rows = [self.rows[gid] for gid in self.by_budget.get(budget, ())]
-    owned = any(not row.source for row in rows)
-    size = self.grant_size(budget, 0) if owned else self.part_size(budget, 0)
+    has_grant = any(not row.source for row in rows)
+    size = (
+        self.grant_size(budget, 0) if has_grant else self.part_size(budget, 0)
+    )
     undrawn = sum(row.undrawn for row in rows if not row.retiring)
     return undrawn < size * self._config.low_mark
 
@@ -295,7 +301,7 @@
     row = self.rows.get(gid)
     if row is not None:
       row.issued_ceilings = [
-          p for p in row.issued_ceilings if p.ceiling != ceiling
+          issued for issued in row.issued_ceilings if issued.ceiling != ceiling
       ]
       row.update_ceiling(now, self.renewed_at)
 
@@ -307,16 +313,18 @@
     if row is None:
       return
     later = [
-        p for p in row.issued_ceilings if p.ceiling.issued >= ceiling.issued
+        issued
+        for issued in row.issued_ceilings
+        if issued.ceiling.issued >= ceiling.issued
     ]
-    if any(p.ceiling == ceiling for p in later):
+    if any(issued.ceiling == ceiling for issued in later):
       while later[0].ceiling != ceiling:
-        del later[0]  # same issue time, but issued before it
+        del later[0]  # issued earlier, with the same timestamp
     row.issued_ceilings = later
     row.update_ceiling(now, self.renewed_at)
 
   def reserve(self, budget: str, tokens: int) -> Reservation | None:
-    """Reserves `tokens` from a row of the budget that has enough free tokens."""
+    """Reserves `tokens` from a row of the budget that has that many free."""
     row = self._find_row(budget, tokens)
     if row is None:
       return None
@@ -332,13 +340,13 @@
     return self._find_row(budget, tokens) is not None
 
   def _find_row(
-      self, budget: str, tokens: int, granted_only: bool = False
+      self, budget: str, tokens: int, from_ledger_only: bool = False
   ) -> Row | None:
     for gid in self.by_budget.get(budget, ()):
       row = self.rows[gid]
       if row.retiring or row.free < tokens:
         continue
-      if not granted_only or not row.source:
+      if not from_ledger_only or not row.source:
         return row
     return None
 
@@ -375,7 +383,7 @@
       if self.rows[old].idle:
         self.rows[old].retiring = True
     self.rows[gid] = Row(
-        budget, gid, granted, now, source, source_gid, last_drawn_at=now
+        budget, gid, granted, now, source, source_gid, last_active_at=now
     )
     self.by_budget.setdefault(budget, []).append(gid)
 
@@ -390,8 +398,10 @@
   def grow(self, gid: str, granted: int, now: float) -> None:
     """Updates a row to the size that the ledger shows.
 
-    A grant only grows while its holder lives, so a smaller number comes from an
-    older read of the ledger and is ignored.
+    While this router lives, only the router itself reduces its grant (see
+    `ledger.Shrink`), and it reduces the row first. A smaller number therefore
+    comes from an older read of the ledger, or from one in which the grant is
+    written off, and is ignored.
     """
     row = self.rows.get(gid)
     if row is not None and granted > row.granted:
@@ -414,11 +424,11 @@
       row = self.rows[self._part_row[part]]
       held = row.parts.get(part)
       return (held.tokens, row.gid) if held is not None else (0, "")
-    row = self._find_row(budget, least, granted_only=True)
+    row = self._find_row(budget, least, from_ledger_only=True)
     if row is None or part in self._ended_parts:
       return 0, ""
     size = min(want, max(least, int(row.free * share)))
-    row.parts[part] = Part(size, part.rpartition(":")[0])
+    row.parts[part] = DelegatedPart(size, part.rpartition(":")[0])
     row.delegated += size
     self._part_row[part] = row.gid
     self._note_draw(budget, size)
@@ -475,8 +485,11 @@
       self.rows[gid].retiring = True
     return [self._remove(gid) for gid in gids if self.rows[gid].idle]
 
-  def pop_due_part(self, gid: str, now: float) -> Row | None:
-    """Removes and returns an idle part whose term has ended; None otherwise."""
+  def pop_expired_received_part(self, gid: str, now: float) -> Row | None:
+    """Removes and returns an idle row received from another router.
+
+    None unless the row is retiring or its term has ended.
+    """
     row = self.rows[gid]
     if not row.source or not row.idle:
       return None
@@ -506,8 +519,8 @@
     self._update_rates(elapsed_s)
     for row in self.rows.values():
       row.update_ceiling(now, self.renewed_at)
-      if row.drawn != row.last_drawn or row.in_flight:
-        row.last_drawn_at, row.last_drawn = now, row.drawn
+      if row.drawn != row.drawn_at_last_tick or row.in_flight:
+        row.last_active_at, row.drawn_at_last_tick = now, row.drawn
       term_s = self._config.part_term_s if row.source else self._config.term_s
       if now - row.acquired_at >= term_s:
         row.retiring = True
--- a/mustardfall/budget/ledger.py
+++ b/mustardfall/budget/ledger.py
@@ -13,6 +13,15 @@
 tokens that engines generate for a budget never exceed its limit, whatever
 fails. This does not depend on any clock.
 
+These terms are used throughout the package. A *router life*, written
+`name:epoch`, is one run of a router's process. Tokens are *drawn* while they
+are reserved by a request in flight, used, or delegated to another router; they
+are *used* once an engine has generated them, which the router knows when the
+request ends; and they are *spent* once that usage is recorded in the ledger's
+`spent`. The *headroom* is not granted to any router, *undrawn* tokens are
+granted but not drawn, and *free* tokens are the undrawn ones below the ceiling
+of their grant (see `ceilings`).
+
 A grant whose holder is gone is *written off*: it moves to `lost` and remains
 counted, because it is unknown how much of it was spent. Returning it to the
 budget would cause overspending if the holder was only paused. When such a
@@ -57,11 +66,21 @@
   limit_version: typing.NotRequired[int]
   """Version of the configuration that set `limit`, if one did."""
   spent: int
+  """Tokens billed: by settled grants and parts and by reports of usage."""
   grants: dict[str, int]
+  """Grant id to the tokens granted and not yet billed. The number shrinks as
+  usage is reported and as parts of the grant are settled here; `granted` adds
+  these tokens again."""
   lost: dict[str, int]
+  """Id of a written-off grant or part to its tokens."""
   lost_before: int
+  """Sum of older written-off entries, which can no longer be settled."""
   parts: dict[str, dict[str, int]]
+  """Grant id to the parts of it that were settled here and the tokens used of
+  each. If the grant's holder has stopped, also `_STOPPED_MARK` and the parts
+  that it settled or wrote off itself, with 0 tokens."""
   ops: list[str]
+  """Ids of the latest top-ups, oldest first."""
   billed: typing.NotRequired[dict[str, int]]
   """Grant id to the tokens that its holder has reported as used."""
   ceilings: typing.NotRequired[dict[str, list[float]]]
@@ -77,7 +96,7 @@
   limit: int
   spent: int
   held: int
-  """Tokens held by routers, including written-off grants."""
+  """Tokens in grants and in written-off grants."""
   at: float
   """Time of the read, monotonic seconds."""
 
@@ -99,7 +118,7 @@
   """Grants `least` to `want` tokens to a holder under the id `gid`.
 
   At most `share` of the headroom is granted (but at least `least` if that much
-  is free), so that one holder cannot take a budget that others also draw on.
+  is left), so that one holder cannot take a budget that others also draw on.
   `margin` is the fraction of the limit that is never granted: a reserve for
   engines that generate more than they were allowed.
 
@@ -172,13 +191,13 @@
 
 
 class SettlePart(NamedTuple):
-  """Bills a part of `tokens` of grant `gid` whose holder is gone.
+  """Bills a part of a grant whose own holder (not the part's) is gone.
 
-  Only the used tokens are deducted from the grant. The rest must not be
-  returned yet: the grant's holder may only be paused, may have received the end
-  of the part (its reply was lost) and may be spending the rest itself. The rest
-  returns when the holder settles, or at once if the holder has stopped for
-  good.
+  `tokens` is the size of the part. Only its used tokens are deducted from grant
+  `gid`; the remainder must not be returned yet. The grant's holder may be
+  paused rather than dead. It may have received the part's settlement, with its
+  reply lost, and may be spending the remainder. The remainder returns when the
+  grant's holder settles, or at once if that holder has stopped for good.
 
   An empty `gid` stands for the grant of a stopped holder that lists the part: a
   router that never received a reply to its request does not know the grant.
@@ -224,7 +243,7 @@
 
 
 class TopUp(NamedTuple):
-  """Adds `tokens` to the limit once; `op` identifies the top-up in the ledger."""
+  """Adds `tokens` to the limit once; `op` identifies the top-up."""
 
   tokens: int
   op: str
@@ -328,7 +347,10 @@
 
 
 def earlier_grants(ledger: Ledger, life: str) -> list[str]:
-  """Returns the grants with a ceiling held by the router's earlier lives."""
+  """Returns the grants of the router's earlier lives with a stored ceiling.
+
+  `life` is the router's current life.
+  """
   name = life.rpartition(":")[0]
   return [
       gid
@@ -403,7 +425,7 @@
     return None
   settled = ledger["parts"].get(change.gid, {})
   kept = {p: n for p, n in change.out.items() if p not in settled}
-  marks = {
+  settled_parts = {
       **settled,
       **dict.fromkeys([*change.parts, *change.lost, _STOPPED_MARK], 0),
   }
@@ -411,7 +433,7 @@
       **ledger,
       table: {**ledger[table], change.gid: sum(kept.values())},
       "spent": ledger["spent"] + _unbilled(change, ledger),
-      "parts": {**ledger["parts"], change.gid: marks},
+      "parts": {**ledger["parts"], change.gid: settled_parts},
       "out": {**ledger.get("out", {}), change.gid: kept},
   }
   after = _forget_reports(after, change.gid)
@@ -443,7 +465,7 @@
   if not change.gid:
     change = change._replace(gid=_stopped_grant_of(ledger, change.part))
   if ledger is not None and change.part in ledger["lost"]:
-    # The holder of the grant had written the part off before it was gone.
+    # The grant's holder wrote the part off before it disappeared itself.
     return change_lib.apply(Settle(change.part, change.used), ledger)
   table = _find_table(ledger, change.gid)
   if table is None:
@@ -453,7 +475,7 @@
     return None
   holder_stopped = _has_stopped(ledger, change.gid)
   deducted = change.tokens if holder_stopped else change.used
-  marks = {**settled, change.part: change.used}
+  settled_parts = {**settled, change.part: change.used}
   after = {
       **ledger,
       table: {
@@ -461,7 +483,7 @@
           change.gid: ledger[table][change.gid] - deducted,
       },
       "spent": ledger["spent"] + change.used,
-      "parts": {**ledger["parts"], change.gid: marks},
+      "parts": {**ledger["parts"], change.gid: settled_parts},
   }
   return _drop_if_done(after, table, change.gid)
 
@@ -472,7 +494,7 @@
 
 
 def _forget_reports(ledger: Ledger, gid: str) -> Ledger:
-  """Returns `ledger` without the reported usage and ceiling of an ended grant."""
+  """Returns `ledger` without an ended grant's reported usage and ceiling."""
   kept = {
       table: _without(ledger[table], gid)
       for table in ("billed", "ceilings")
@@ -518,10 +540,14 @@
 
 
 def _reclaim(ledger: Ledger, gid: str, change: Reclaim) -> Ledger:
-  """Returns `ledger` with a dead holder's grant cut down and written off."""
+  """Returns `ledger` with a dead holder's grant reduced and written off.
+
+  The grant is reduced to what its holder may have drawn; the rest returns to
+  the budget.
+  """
   last_ceiling = ceiling(ledger, gid)
   table = _find_table(ledger, gid)
-  elapsed_s = unheard_s(change, gid, last_ceiling)
+  elapsed_s = max_unreported_s(change, gid, last_ceiling)
   ledger = {**ledger, "ceilings": _without(ledger["ceilings"], gid)}
   if table is None:
     return ledger
@@ -534,13 +560,14 @@
   return _add_lost({**ledger, table: _without(ledger[table], gid)}, {gid: left})
 
 
-def unheard_s(
+def max_unreported_s(
     change: Reclaim, gid: str, last_ceiling: ceilings_lib.Ceiling
 ) -> float | None:
-  """Returns the longest time that the holder of `gid` drew unreported.
+  """Returns an upper bound on the time of unreported draws on grant `gid`.
 
-  Counted from its ceiling's issue or its last renewal, whichever gives the
-  lower bound; None if the clocks give none.
+  This is the time for which its holder may have drawn tokens without reporting
+  them. It is measured from the issue of its last ceiling or from its last
+  renewal, whichever gives the smaller bound; None if the clocks allow neither.
   """
   moments = [last_ceiling.issued, change.renewed.get(holder(gid))]
   spans = [
--- a/mustardfall/budget/ownership.py
+++ b/mustardfall/budget/ownership.py
@@ -124,7 +124,7 @@
     for row in self._table.rows.values():
       if row.source or self._budget_view.owner(row.budget) is None:
         continue
-      if now - row.last_drawn_at >= _FALLBACK_GRANT_IDLE_S:
+      if now - row.last_active_at >= _FALLBACK_GRANT_IDLE_S:
         row.retiring = True
 
   def write_off_parts(self) -> None:
--- a/mustardfall/budget/pool.py
+++ b/mustardfall/budget/pool.py
@@ -174,7 +174,9 @@
   ) -> allotment.Settled:
     """Ends a reservation; `used` tokens of it are billed."""
     settled = self.table.settle(reservation, used)
-    ended = self.table.pop_due_part(reservation.gid, self._clock.monotonic())
+    ended = self.table.pop_expired_received_part(
+        reservation.gid, self._clock.monotonic()
+    )
     if ended is not None:
       self._settler.settle_row(ended)
     return settled
--- a/mustardfall/budget/reviewing.py
+++ b/mustardfall/budget/reviewing.py
@@ -164,7 +164,7 @@
     after: ledger.Ledger,
 ) -> None:
   for gid in ledger.earlier_grants(before, change.life):
-    promise = ledger.ceiling(before, gid)
+    last_ceiling = ledger.ceiling(before, gid)
     logger.info(
         "grant of an earlier life reviewed",
         extra={
@@ -172,10 +172,10 @@
             "gid": gid,
             "held": before["grants"].get(gid) or before["lost"].get(gid),
             "billed": ledger.billed(before, gid),
-            "promise": promise,
+            "promise": last_ceiling,
             "renewed": change.renewed.get(ledger.holder(gid)),
             "started": change.started,
-            "unheard_s": ledger.unheard_s(change, gid, promise),
+            "unheard_s": ledger.max_unreported_s(change, gid, last_ceiling),
             "lost": after["lost"].get(gid),
             "headroom": ledger.headroom(after),
         },
--- a/mustardfall/settings.py
+++ b/mustardfall/settings.py
@@ -42,8 +42,8 @@
   """Time over which the draw on a budget is averaged. It has to be averaged
   since a single request may take up to a tenth of a small budget."""
   share_held: float = pydantic.Field(default=0.5, ge=0, le=1)
-  """Share of a budget's remaining tokens that all holders together hold at
-  least; each holds an equal part of it."""
+  """Share of a budget's remaining tokens that its holders together aim to hold
+  as a minimum, in equal parts."""
   requests_held: float = pydantic.Field(default=2.0, ge=0)
   """A holder aims to hold the tokens of this many average requests, in addition
   to the draw of `horizon_s`."""
@@ -51,29 +51,31 @@
   """Whether the use of grants is reported to the ledger while they are held, so
   that fewer tokens are written off when a router dies."""
   slack_s: float = pydantic.Field(default=2.0, gt=0)
-  """A report allows its holder this many seconds of draw until the next one."""
+  """A ceiling permits this many seconds of draw beyond the tokens in use when
+  it was issued."""
   request_tokens: int = pydantic.Field(default=8_000, ge=1)
   """Assumed tokens of a request until this router has served one of the same
   budget."""
   requests_slack: float = pydantic.Field(default=1.0, ge=0)
-  """In addition to `slack_s`, a report allows the tokens of this many average
+  """In addition to `slack_s`, a ceiling permits the tokens of this many average
   requests."""
   slack_left: float = pydantic.Field(default=0.15, gt=0, le=1)
-  """The reports of all holders together allow at most this share of the
-  remaining tokens, times the fraction of the budget that remains. In a
-  simulation of 30 days, 0.10 to 0.20 led to 5.4 to 5.8 % of requests refused
-  although the budget could cover them, 0.30 to 6.9 %."""
+  """Limits how far the ceilings of all holders together exceed the tokens in
+  use when they were issued: to about `slack_left` * remaining tokens *
+  (remaining tokens / limit). In a simulation of 30 days, 0.10 to 0.20 led to
+  5.4 to 5.8 % of requests refused although the budget could cover them, 0.30 to
+  6.9 %."""
   report_s: float = pydantic.Field(default=1.0, gt=0)
-  """Time between two reports of use, each of which renews the allowances of all
+  """Time between two reports of use, each of which renews the ceilings of all
   budgets. A report costs a write to the KV."""
   ceiling_grace_s: float = pydantic.Field(default=2.0, ge=0)
-  """Time that the allowance of a report has to last."""
+  """Time after its issue or renewal for which a ceiling does not grow."""
   ceiling_rate: float = pydantic.Field(default=1.5, ge=0)
-  """After `ceiling_grace_s` a holder may draw at this multiple of its usual
-  rate."""
+  """After `ceiling_grace_s` a ceiling grows by this multiple of the holder's
+  average draw per second."""
   low_mark: float = pydantic.Field(default=0.25, ge=0, lt=1)
-  """An allotment is refilled in the background when less than this share of it
-  is unused."""
+  """A budget is refilled in the background when its unused tokens on this
+  router fall below this share of the size that a grant or part should have."""
   part_horizon_s: float = pydantic.Field(default=1.0, ge=0)
   """A part requested from an owner covers this many seconds of draw; 0: only
   the requests that wait for it."""
@@ -131,15 +133,15 @@
   """Initial limit of the requests in flight per endpoint and router."""
   max_limit: float = pydantic.Field(default=64.0, ge=1)
   target_s: float = pydantic.Field(default=0.4, gt=0)
-  """Target for the time to first token of urgent requests; the limit is adjusted
-  to meet it."""
+  """Target for the time to first token of urgent requests; the limit is
+  adjusted to meet it."""
   urgent_wait_s: float = pydantic.Field(default=0.6, ge=0)
   """Maximum time that an urgent request waits for an endpoint."""
   deferrable_wait_s: float = pydantic.Field(default=15.0, ge=0)
   """Maximum time that a deferrable request waits for an endpoint."""
   deferrable_every: int = pydantic.Field(default=4, ge=1)
-  """While requests of both classes wait, one of this many freed places goes to a
-  deferrable one."""
+  """While requests of both classes wait, one of this many freed slots goes to
+  a deferrable one."""
 
 
 class Proxy(_SettingsModel):
@@ -186,8 +188,8 @@
   """Whether the whole deployment starts for the first time, so that the caches
   of the engines are empty."""
   load_port: int = pydantic.Field(default=0, ge=0, le=65535)
-  """UDP port, the same on all routers, on which they exchange the load that each
-  puts on the endpoints; 0: they do not."""
+  """UDP port, the same on all routers, on which they exchange the load that
+  each puts on the endpoints; 0: they do not."""
   kv_url: str
   hosts_url: str
   tick_s: float = pydantic.Field(default=0.5, gt=0)
--- a/tests/test_pool_states.py
+++ b/tests/test_pool_states.py
@@ -36,7 +36,7 @@
 )
 
 
-class _World:
+class _FleetState:
   """Which routers are up or considered gone, and which calls get lost."""
 
   def __init__(self):
@@ -44,7 +44,7 @@
     self.dead = set()
     self.gone = set()  # considered gone; dead, or only paused
     self.owner = "r1"
-    self.lose = ""  # "ask", "answer" or "": what happens to peer calls
+    self.lose = ""  # "request", "answer" or "": the lost half of peer calls
     self.epochs = dict.fromkeys(_NAMES, 0)  # raised by a restart
 
   def member(self, name):
@@ -99,13 +99,15 @@
     self._world = world
 
   async def _call(self, member, call):
-    if member.name in self._world.dead or self._world.lose == "ask":
+    if member.name in self._world.dead or self._world.lose == "request":
       return None
     answer = await call(self._world.pools[member.name])
     return None if self._world.lose == "answer" else answer
 
-  async def reserve(self, owner, ask):
-    return await self._call(owner, lambda p: p.owner.serve_part_request(ask))
+  async def reserve(self, owner, request):
+    return await self._call(
+        owner, lambda p: p.owner.serve_part_request(request)
+    )
 
   async def settle(self, owner, ended):
     async def _settle(p):
@@ -154,7 +156,7 @@
 
   def __init__(self):
     super().__init__()
-    self.world = _World()
+    self.world = _FleetState()
     self.clock = clock_lib.FakeClock()
     self.open = []  # (router, reservation) in flight
     self.generated = 0
@@ -164,8 +166,8 @@
     self.portal.call(self._set_up)
 
   async def _set_up(self):
-    self.op, self.server = kvfake.make("op")
-    await ledger.write(self.op, "b", ledger.Create(_LIMIT))
+    self.operator_kv, self.server = kvfake.make("op")
+    await ledger.write(self.operator_kv, "b", ledger.Create(_LIMIT))
     config = configs.router(allotment=self.allotment)
     self.config = config
     self.writers = {}
@@ -180,7 +182,7 @@
         kv,
         settings.Writer(interval_s=0.0, linger_s=0.0),
         clock_lib.SystemClock(),
-        lambda key, value: self._take_in(name, key, value),
+        lambda key, value: self._on_value(name, key, value),
     )
     self.writers[name] = writer
     self.world.pools[name] = pool.Pool(
@@ -193,7 +195,7 @@
         lambda _: self._limit_of(name),
     )
 
-  def _take_in(self, router, key, value):
+  def _on_value(self, router, key, value):
     pool_ = self.world.pools[router]
     if key == pool_.renewer.key:
       pool_.renewer.update(value)
@@ -272,7 +274,7 @@
   def change_owner(self, owner):
     self.world.owner = owner
 
-  @stateful.rule(lose=st.sampled_from(["", "ask", "answer"]))
+  @stateful.rule(lose=st.sampled_from(["", "request", "answer"]))
   def lose_peer_calls(self, lose):
     self.world.lose = lose
 
@@ -286,7 +288,7 @@
     self.server.faults.blocked = frozenset([router] if router else [])
 
   @stateful.rule(router=st.sampled_from(_NAMES))
-  def take_for_gone(self, router):
+  def toggle_considered_gone(self, router):
     self.world.gone ^= {router}
 
   @stateful.precondition(lambda self: not self.world.dead)
@@ -329,7 +331,7 @@
             await self.writers[name].flush(1.0)
 
     await self._with_loops(go)
-    found = await ledger.read(self.op, "b")
+    found = await ledger.read(self.operator_kv, "b")
     lives = [self.world.member(n).life for n in _NAMES if self._up(n)]
     alive = [g for g in found["grants"] if ledger.holder(g) in lives]
     assert not alive, alive
@@ -354,11 +356,11 @@
 
   def __init__(self):
     self.limits = [ledger.Limit(_LIMIT, 1)]
-    self.heard = dict.fromkeys(_NAMES, 0)
+    self.known_limit = dict.fromkeys(_NAMES, 0)  # indices into `limits`
     super().__init__()
 
   def _limit_of(self, router):
-    return self.limits[self.heard[router]]
+    return self.limits[self.known_limit[router]]
 
   @stateful.rule(tokens=st.sampled_from([100, 250, 400]))
   def change_limit(self, tokens):
@@ -368,11 +370,11 @@
     self.limits.append(ledger.Limit(min(tokens, _LIMIT), version))
 
   @stateful.rule(router=st.sampled_from(_NAMES))
-  def hear(self, router):
+  def learn_limit(self, router):
     if not self._up(router):
       return
     before = self._limit_of(router).tokens
-    self.heard[router] = len(self.limits) - 1
+    self.known_limit[router] = len(self.limits) - 1
     if self._limit_of(router).tokens < before:
       self.world.pools[router].retire("b")
 
@@ -386,12 +388,12 @@
 
   async def _heal_and_check(self):
     self.limits.append(ledger.Limit(_LIMIT, self.limits[-1].version + 1))
-    self.heard = dict.fromkeys(_NAMES, len(self.limits) - 1)
+    self.known_limit = dict.fromkeys(_NAMES, len(self.limits) - 1)
     self.server.change_faults({"blocked": [], "lose_replies": 0, "down": False})
-    found = await ledger.read(self.op, "b")
+    found = await ledger.read(self.operator_kv, "b")
     version = self.limits[-1].version
     whole = {**found, "limit": _LIMIT, "limit_version": version}
-    await self.op.put(ledger.key("b"), change.encode(whole))
+    await self.operator_kv.put(ledger.key("b"), change.encode(whole))
     await super()._heal_and_check()
 
 
@@ -427,13 +429,13 @@
   @stateful.rule(
       router=st.sampled_from(_NAMES),
       down_s=st.sampled_from([0.0, 0.5, 4.0]),
-      power=st.booleans(),
+      reboot=st.booleans(),
   )
-  def restart(self, router, down_s, power):
+  def restart(self, router, down_s, reboot):
     if self._up(router):
       self.kill(router)
     self.clock.advance(clock_lib.datetime.timedelta(seconds=down_s))
-    if power:
+    if reboot:
       self.clocks[router].boot_s = -self.clock.monotonic()
     self.world.epochs[router] += 1
     self.world.dead.discard(router)
@@ -451,7 +453,7 @@
 
 class ReportTest(testtools.TestCase):
 
-  def test_report_does_not_take_back_what_a_grant_is_asked_for(self):
+  def test_report_does_not_lower_the_ceiling_of_a_pending_grant(self):
     # A report becomes due while a request waits for its grant. The report's
     # ceiling was lower and newer, so it replaced the request's: the caller got
     # 429 although the tokens were there.
@@ -465,7 +467,7 @@
       pool_ = machine.world.pools["r1"]
       writer = machine.writers["r1"]
 
-      async def ask():
+      async def request():
         served.append(await pool_.reserve("b", 120, "c"))
 
       submit = writer.submit
@@ -477,7 +479,7 @@
 
       writer.submit = submit_late
       async with anyio.create_task_group() as tg:
-        tg.start_soon(ask)
+        tg.start_soon(request)
 
     machine._do(go)
     self.assertIsNotNone(served[0])
