--- a/mustardfall/budget/budget_view.py
+++ b/mustardfall/budget/budget_view.py
@@ -210,7 +210,7 @@
     state = self.ledgers.get(budget)
     return holding.SizingInput(
         limit=limit.tokens,
-        free=None if state is None else max(0, ledger.headroom(state)),
+        headroom=None if state is None else max(0, ledger.headroom(state)),
         held=self._table.at_risk(budget),
         rate=self._table.rate.get(budget, 0.0),
         others_rate=0.0 if state is None else self._others_rate(state),
--- a/mustardfall/budget/granting.py
+++ b/mustardfall/budget/granting.py
@@ -166,7 +166,7 @@
     if as_owner and limit is not None:
       sizing = self._budget_view.sizing_input(budget, limit)
       want = max(least, holding.target(sizing, self._config) - sizing.held)
-      if sizing.free is None:
+      if sizing.headroom is None:
         # The ledger was not read yet and may be mostly used; the share applies
         # to the headroom at the time of the write.
         share = holding.equal_share(sizing, self._config)
--- a/mustardfall/budget/holding.py
+++ b/mustardfall/budget/holding.py
@@ -21,9 +21,9 @@
 
   limit: int
   """The budget's limit, tokens."""
-  free: int | None
-  """Tokens neither used nor held by any router, as of the last read; None if
-  the ledger was never read."""
+  headroom: int | None
+  """The ledger's headroom as of the last read, at least 0; None if the ledger
+  was never read."""
   held: int
   """Tokens held by this router that are not known to be used."""
   rate: float
@@ -45,7 +45,7 @@
   its part of the draw, or an equal share if that is more.
   """
   available = sizing.held + (
-      sizing.limit if sizing.free is None else sizing.free
+      sizing.limit if sizing.headroom is None else sizing.headroom
   )
   outage_draw = (
       sizing.rate * config.horizon_s
@@ -74,8 +74,8 @@
   expected = (
       sizing.rate * config.slack_s + sizing.mean_request * config.requests_slack
   )
-  free = sizing.limit if sizing.free is None else sizing.free
-  available = free + sizing.held
+  headroom = sizing.limit if sizing.headroom is None else sizing.headroom
+  available = headroom + sizing.held
   acceptable_loss = (
       available * config.slack_left * available / max(sizing.limit, 1)
   )
--- a/mustardfall/budget/ledger.py
+++ b/mustardfall/budget/ledger.py
@@ -301,8 +301,10 @@
   ledger = _with_limit(ledger, change.limit)
   if ledger is None or granted(ledger, change.gid) != change.base:
     return None
-  free = headroom(ledger) - int(ledger["limit"] * change.margin)
-  size = min(change.want, max(change.least, int(free * change.share)), free)
+  grantable = headroom(ledger) - int(ledger["limit"] * change.margin)
+  size = min(
+      change.want, max(change.least, int(grantable * change.share)), grantable
+  )
   if size < change.least:
     return None
   held = ledger["grants"].get(change.gid, 0) + size
--- a/tests/test_ceilings.py
+++ b/tests/test_ceilings.py
@@ -205,7 +205,9 @@
     # fourth of what is left, times the fraction that is left, is 3.6.
     sizing = holding.SizingInput(1_000, 100, 20, 50.0, 0.0, 10.0, holders=1)
     self.assertEqual(3, holding.slack(sizing, self.config))
-    self.assertEqual(110, holding.slack(sizing._replace(free=980), self.config))
+    self.assertEqual(
+        110, holding.slack(sizing._replace(headroom=980), self.config)
+    )
 
   def test_holders_with_equal_draw_risk_equal_shares(self):
     # Four holders draw equally on the remaining 400 tokens: each may risk a
--- a/tests/test_hold.py
+++ b/tests/test_hold.py
@@ -26,7 +26,7 @@
   """Returns the sizing input for a budget that nobody has drawn on yet."""
   usual = {
       "limit": _LIMIT,
-      "free": _LIMIT,
+      "headroom": _LIMIT,
       "held": 0,
       "rate": 0.0,
       "others_rate": 0.0,
@@ -50,7 +50,7 @@
 
   def test_holds_less_the_less_is_left(self):
     lefts = (1_000_000, 500_000, 200_000, 50_000, 0)
-    holds = [_target(free=left, rate=40_000.0) for left in lefts]
+    holds = [_target(headroom=left, rate=40_000.0) for left in lefts]
     self.assertEqual([290_000, 175_000, 70_000, 17_500, 0], holds)
 
   def test_holders_together_hold_no_more_than_one_alone(self):
@@ -78,7 +78,7 @@
     self.assertEqual(0, table.free("b"))
     self.assertEqual(200_000, table.at_risk("b"))
     held = table.at_risk("b")
-    self.assertTrue(_target(held=held, free=_LIMIT - held) <= held)
+    self.assertTrue(_target(held=held, headroom=_LIMIT - held) <= held)
 
   def test_what_was_used_is_not_at_risk(self):
     table = allotment.Table("r:e", _CONFIG)
