--- a/mustardfall/budget/granting.py
+++ b/mustardfall/budget/granting.py
@@ -166,13 +166,13 @@
     if as_owner and limit is not None:
       sizing = self._budget_view.sizing_input(budget, limit)
       want = max(least, holding.target(sizing, self._config) - sizing.held)
-      if sizing.free is None:
+      if sizing.headroom is None:
         # The ledger was not read yet and may be mostly used; the share applies
         # to the headroom at the time of the write.
         share = holding.equal_share(sizing, self._config)
     row = self._table.growable_row(budget)
     base = row.granted if row is not None else 0
-    gid = row.gid if row is not None else self._table.new_gid()
+    gid = row.gid if row is not None else self._table.new_id()
     asked_at = self._clock.monotonic()
     ceiling = self.issue_ceiling(budget, row, least)
     change = ledger.Grant(gid, least, want, share, margin, limit, base, ceiling)
