--- a/mustardfall/gateway.py
+++ b/mustardfall/gateway.py
@@ -168,7 +168,7 @@
       return json.loads(reply.body)
     except (
         errors.EndpointUnreachableError,
-        errors.BrokenAnswerError,
+        errors.InvalidResponseError,
         ValueError,
     ) as exc:
       raise errors.PeerUnavailableError(repr(exc)) from exc
--- a/mustardfall/platform/store.py
+++ b/mustardfall/platform/store.py
@@ -173,7 +173,7 @@
     except errors.EndpointUnreachableError as exc:
       self._breaker.record(str(exc))
       raise errors.KvUnavailableError(str(exc)) from exc
-    except errors.BrokenAnswerError as exc:
+    except errors.InvalidResponseError as exc:
       self._breaker.record(str(exc))
       raise errors.KvUnknownError(str(exc)) from exc
     if reply.status in _NO_EFFECT:
--- a/mustardfall/proxy/exchange.py
+++ b/mustardfall/proxy/exchange.py
@@ -111,12 +111,12 @@
     Raises:
       errors.BrokenAnswerError: there is no response; the request may have run.
     """
-    result: list[messages.ResponseHead | errors.BrokenAnswerError] = []
+    result: list[messages.ResponseHead | errors.InvalidResponseError] = []
 
     async def _read() -> None:
       try:
         result.append(await self._read_head(decode, request_id))
-      except errors.BrokenAnswerError as exc:
+      except errors.InvalidResponseError as exc:
         result.append(exc)
 
     # Read while sending: a server may respond to a long request, or refuse it,
@@ -126,7 +126,7 @@
       await _read()
       tg.cancel_scope.cancel()
     head_or_error = result[0]
-    if isinstance(head_or_error, errors.BrokenAnswerError):
+    if isinstance(head_or_error, errors.InvalidResponseError):
       raise head_or_error
     self._idle_timeout_s = head_or_error.idle_timeout_s
     self._closes_connection = head_or_error.closes_connection
@@ -153,19 +153,19 @@
       while isinstance(event, h11.InformationalResponse):
         event = await self._next_event()
       if not isinstance(event, h11.Response):
-        raise errors.BrokenAnswerError("connection ended before a response")
+        raise errors.InvalidResponseError("connection ended before a response")
       head = decode(event.status_code, list(event.headers))
       if head.request_id in (request_id, ""):
         self._content_length = messages.content_length(event.headers)
         return head
       await self._skip_response(event)
-    raise errors.BrokenAnswerError("responses to other requests only")
+    raise errors.InvalidResponseError("responses to other requests only")
 
   async def _skip_response(self, head: h11.Response) -> None:
     """Reads the response to another request to its end."""
     names = {name for name, _ in head.headers}
     if not names & {b"content-length", b"transfer-encoding"}:
-      raise errors.BrokenAnswerError(
+      raise errors.InvalidResponseError(
           "response to another request, without length"
       )
     while not isinstance(await self._next_event(), h11.EndOfMessage):
@@ -182,7 +182,7 @@
       while True:
         event = self._parser.next_event()
         if event is h11.PAUSED or isinstance(event, h11.ConnectionClosed):
-          raise errors.BrokenAnswerError("connection ended")
+          raise errors.InvalidResponseError("connection ended")
         if event is not h11.NEED_DATA:
           return event
         try:
@@ -192,7 +192,7 @@
         self.received = self.received or bool(data)
         self._parser.receive_data(data)
     except _CONNECTION_ERRORS as exc:
-      raise errors.BrokenAnswerError(repr(exc)) from exc
+      raise errors.InvalidResponseError(repr(exc)) from exc
 
   async def body(self) -> AsyncIterator[bytes]:
     """Yields the response body; returns only after the complete body.
@@ -224,15 +224,17 @@
     out = bytearray()
     length = min(self._content_length, max_bytes)
     if memory is not None and length and not await memory.hold_whole(length):
-      raise errors.BrokenAnswerError(
+      raise errors.InvalidResponseError(
           f"no memory for a response body of {length} bytes"
       )
     async for data in self.body():
       out += data
       if len(out) > max_bytes:
-        raise errors.BrokenAnswerError(f"response body over {max_bytes} bytes")
+        raise errors.InvalidResponseError(
+            f"response body over {max_bytes} bytes"
+        )
       if memory is not None and not length and not memory.hold(len(data)):
-        raise errors.BrokenAnswerError(
+        raise errors.InvalidResponseError(
             f"no memory for the response body after {len(out)} bytes"
         )
     return bytes(out)
--- a/mustardfall/proxy/forwarder.py
+++ b/mustardfall/proxy/forwarder.py
@@ -251,10 +251,10 @@
     failed = False
     try:
       await self._relay(context, place, exchange, may_have_run_before, attempt)
-    except errors.BrokenAnswerError as exc:
+    except errors.InvalidResponseError as exc:
       failed = True
       row.failures += 1
-      if not isinstance(exc, errors.SilentEndpointError):
+      if not isinstance(exc, errors.ResponseTimeoutError):
         ran_s = self._clock.monotonic() - sent_at
         await self._crash_guard.check_for_crash(context, row, ran_s)
       raise _RetryableError(str(exc)) from exc
@@ -295,7 +295,7 @@
         head = await exchange.start(
             self._dialect.decode_response, context.request.id
         )
-    except errors.BrokenAnswerError:
+    except errors.InvalidResponseError:
       # An early failure says nothing about the endpoint's speed.
       waited_s = self._clock.monotonic() - sent_at
       if waited_s > place.answer_s:
@@ -315,7 +315,7 @@
       await exchange.read_body(_MAX_BODY_BYTES)
       raise _RetryableError(f"not run: {head.status}")
     if head.has_content_encoding or not head.signed or not head.request_id:
-      raise errors.BrokenAnswerError("not the endpoint's own answer")
+      raise errors.InvalidResponseError("not the endpoint's own answer")
     if head.is_event_stream and head.status == _OK:
       await self._relay_events(context, exchange, head)
     else:
@@ -335,7 +335,7 @@
       context.error_response = (head, body)
       raise _RetryableError(f"status {head.status}")
     if context.responder.started:
-      raise errors.BrokenAnswerError(
+      raise errors.InvalidResponseError(
           f"status {head.status} instead of the rest of the stream"
       )
     await self._respond(context, head, body)
@@ -365,9 +365,9 @@
         if accepted:
           await self._write(context, head, b"".join(accepted))
     except ValueError as exc:
-      raise errors.BrokenAnswerError(str(exc)) from exc
+      raise errors.InvalidResponseError(str(exc)) from exc
     if parser.incomplete:
-      raise errors.BrokenAnswerError("stream ended within an event")
+      raise errors.InvalidResponseError("stream ended within an event")
     self._crash_guard.record_success(context)
     await self._write(context, head, b"")
     await context.responder.end()
@@ -410,7 +410,7 @@
     with anyio.move_on_after(limit_s if another else math.inf) as scope:
       yield
     if scope.cancelled_caught:
-      raise errors.SilentEndpointError(f"silent for {limit_s:.2f} s")
+      raise errors.ResponseTimeoutError(f"silent for {limit_s:.2f} s")
 
   async def _write(
       self,
--- a/mustardfall/proxy/http_client.py
+++ b/mustardfall/proxy/http_client.py
@@ -100,7 +100,7 @@
       self._overhead.record(overhead_lib.name_call(target), size)
       await exchange.close()
     assert scope.cancelled_caught
-    raise errors.BrokenAnswerError(f"{target}: no response in {timeout_s} s")
+    raise errors.InvalidResponseError(f"{target}: no response in {timeout_s} s")
 
 
 async def _read_content(
@@ -112,7 +112,7 @@
   async for data in exchange.body():
     content += data
     if len(content) > _MAX_BODY_BYTES:
-      raise errors.BrokenAnswerError(
+      raise errors.InvalidResponseError(
           f"response body over {_MAX_BODY_BYTES} bytes"
       )
     read_deadline = anyio.current_time() + _READ_TIMEOUT_S
