--- a/mustardfall/gateway.py
+++ b/mustardfall/gateway.py
@@ -185,7 +185,7 @@
     teams = config.teams.values() if config else ()
     return [team.name for team in teams if team.prepaid is not None]
 
-  def take_configuration(self, new: configuration.Configuration) -> None:
+  def apply_configuration(self, new: configuration.Configuration) -> None:
     """Applies a newer configuration, and retires grants of reduced budgets."""
     old = self.directory.configuration
     if not self.directory.apply_configuration(new) or old is None:
@@ -208,7 +208,7 @@
         # returned, and granted again if the new limit allows.
         self.accounts.pool.retire(name)
 
-  async def take_endpoints(self, hosts: list[endpoints.Host]) -> None:
+  async def apply_endpoints(self, hosts: list[endpoints.Host]) -> None:
     """Applies a complete list of endpoints.
 
     Idle connections to servers that were removed or restarted are closed. A
--- a/mustardfall/platform/followers.py
+++ b/mustardfall/platform/followers.py
@@ -279,10 +279,10 @@
     except ValueError as exc:
       logger.error("configuration unreadable", extra={"error": repr(exc)})
       return
-    self._gateway.take_configuration(decoded)
+    self._gateway.apply_configuration(decoded)
 
   async def _apply_servers(self, document: deltas.Document) -> None:
-    await self._gateway.take_endpoints(document["hosts"])
+    await self._gateway.apply_endpoints(document["hosts"])
 
   async def _apply_members(self, document: deltas.Document) -> None:
     self._members.update([members_lib.from_row(r) for r in document["members"]])
--- a/tests/test_server_entries.py
+++ b/tests/test_server_entries.py
@@ -125,7 +125,7 @@
     self.relay = _Relay()
     self.accounts = _Accounts()
 
-  async def take_endpoints(self, hosts):
+  async def apply_endpoints(self, hosts):
     self.directory.apply_endpoints(hosts)
 
 
