--- a/mustardfall/gateway.py
+++ b/mustardfall/gateway.py
@@ -55,10 +55,11 @@
 checks readiness every second and removes a host after two failed checks. From
 then on idle connections are closed and responses say `Connection: close`."""
 _BUDGET_RETURN_SHARE = 0.095
-"""Share of the stop timeout reserved for returning budgets to the store: 0.7 s
-of 8 s, many times what the store takes if it responds. Cutting streams off to
-reserve more would be worse than returning tokens late: the restarted process
-returns them."""
+"""Share of the stop timeout reserved for returning budgets to the store. With
+the platform's default grace period of 8 s the stop timeout is 7.6 s, and 0.7 s
+are reserved, many times what the store takes if it responds. Cutting streams
+off to reserve more would be worse than returning tokens late: the restarted
+process returns them."""
 
 
 class _InternalService(NamedTuple):
@@ -208,21 +209,22 @@
         # returned, and granted again if the new limit allows.
         self.accounts.pool.retire(name)
 
-  async def apply_endpoints(self, hosts: list[endpoints.Host]) -> None:
+  async def apply_endpoints(self, endpoint_list: list[endpoints.Host]) -> None:
     """Applies a complete list of endpoints.
 
-    Idle connections to servers that were removed or restarted are closed. A
-    request sent on one would fail as one that may have run, and could not be
+    Idle connections to endpoints that were removed or restarted are closed. A
+    request sent on one would fail with an unknown outcome, so it could not be
     retried if it must not run twice.
     """
     before = self._lives_by_address()
-    self.directory.apply_endpoints(hosts)
+    self.directory.apply_endpoints(endpoint_list)
     after = self._lives_by_address()
     for address, life in before.items():
       if after.get(address) != life:
         await self.connection_pool.close_address(address)
 
   def _lives_by_address(self) -> dict[str, str]:
+    """Returns each endpoint's life, one run of its process, by address."""
     return {row.url: row.life for row in self.directory.endpoints.rows.values()}
 
   @property
@@ -360,7 +362,7 @@
     with anyio.move_on_after(max(0.1, stops_at - self.clock.monotonic())):
       try:
         await self.accounts.return_allotments()
-      except Exception:  # noqa: BLE001  the restarted process does it
+      except Exception:  # noqa: BLE001  the restarted process returns them
         logger.exception("budgets not returned to the store")
       await self.accounts.writer.flush(budget_return_s)
     logger.info(
--- a/mustardfall/platform/followers.py
+++ b/mustardfall/platform/followers.py
@@ -21,8 +21,9 @@
 logger = logging.getLogger(__name__)
 
 _CATCH_UP_S = 0.3
-"""How long a router whose copy is outdated leaves the store alone. Another
-router may have the change, or a reader may send it with its next notice."""
+"""How long a router with an outdated copy waits before it reads the store.
+Another router may have the change, or a reader may send it with its next
+notice."""
 _BACKOFF_FACTOR = 2.0
 """Growth of the pause with each consecutive failure."""
 _JITTER = 0.3
@@ -36,9 +37,9 @@
   max_s: float
 
 
-_NOTIFIER_BACKOFF = _Backoff(0.3, 1.0)
-"""For routers that read or notify the others: they must detect soon that the
-store is reachable again."""
+_ANNOUNCER_BACKOFF = _Backoff(0.3, 1.0)
+"""For readers and announcers: they must detect soon that the store is reachable
+again."""
 _DEFAULT_BACKOFF = _Backoff(1.2, 4.0)
 """For all other routers."""
 
@@ -52,7 +53,7 @@
   Args:
     source: reads the document from the store.
     apply: called with the document when it changed or was found to be current.
-    gateway: owner of the copies, the notices and the relay.
+    gateway: provides the copies, the notices and the relay.
     clock: the time source.
     on_unreachable: called after each failed read while the copy is older than
       the source's `max_silence_s`.
@@ -162,7 +163,7 @@
       return False
     self._failures = 0
     self._behind_since = None
-    await self._save_and_notify(document, as_of)
+    await self._save_and_announce(document, as_of)
     return True
 
   async def _apply_notices(self) -> None:
@@ -175,10 +176,10 @@
       await self._notices.wait(_CATCH_UP_S)
       await self._apply_copy()
 
-  async def _save_and_notify(
+  async def _save_and_announce(
       self, document: deltas.Document, as_of: float
   ) -> None:
-    """Saves a document that was read from the store and notifies the others."""
+    """Saves a document that was read from the store and announces it."""
     previous = self._copies.find(self._name)
     if previous is not None and self._source.precedes(
         document, previous.document
@@ -212,8 +213,8 @@
 
   async def _back_off(self) -> None:
     """Waits before the next read, or until a notice makes it unnecessary."""
-    notifies = self._notices.is_announcer or self._notices.is_reader
-    initial_s, max_s = _NOTIFIER_BACKOFF if notifies else _DEFAULT_BACKOFF
+    reads_early = self._notices.is_announcer or self._notices.is_reader
+    initial_s, max_s = _ANNOUNCER_BACKOFF if reads_early else _DEFAULT_BACKOFF
     pause_s = min(max_s, initial_s * _BACKOFF_FACTOR**self._failures)
     pause_s *= 1 + _JITTER * (random.random() - 0.5)
     self._failures += 1
--- a/mustardfall/platform/process_settings.py
+++ b/mustardfall/platform/process_settings.py
@@ -21,7 +21,7 @@
 SETTINGS_VARIABLE = "MUSTARDFALL_SETTINGS"
 """Environment variable with the path of the platform's settings file."""
 
-_RETRY_MARGIN = 0.75
+_RETRY_SHARE = 0.75
 """Fraction of the allowed retries that is used: the platform counts them in
 sliding windows, and a burst may span two of them."""
 
@@ -64,6 +64,8 @@
 
 
 class _Bounds(_JsonModel):
+  """Retry limits and the grace period between SIGTERM and SIGKILL."""
+
   retry_ratio: _NonNegativeFloat = 0.2
   retry_slack: _NonNegativeFloat = 0.0
   grace_s: Annotated[float, pydantic.Field(gt=0, le=3600)] = 8.0
@@ -87,7 +89,7 @@
   """Seconds between SIGTERM and SIGKILL."""
 
 
-def _parse_address(address: str) -> dict[str, Any]:
+def _split_address(address: str) -> dict[str, Any]:
   host, _, port = address.rpartition(":")
   return {"host": host, "port": int(port)}
 
@@ -110,7 +112,8 @@
 
   Raises:
     errors.SettingsError: a file is unreadable, a required field of the
-      platform's file is missing or invalid, or a key of the other is.
+      platform's file is missing or invalid, or a key of the YAML file is
+      invalid.
   """
   try:
     text = pathlib.Path(path).read_text(encoding="utf-8")
@@ -161,13 +164,13 @@
   try:
     required = _Required.model_validate(platform_fields)
     listen = settings.parse(
-        _parse_address(required.listen.front), settings.Listen
+        _split_address(required.listen.front), settings.Listen
     )
     control = settings.parse(
-        _parse_address(required.listen.control), settings.Listen
+        _split_address(required.listen.control), settings.Listen
     )
     ready = settings.parse(
-        _parse_address(required.listen.ready), settings.Listen
+        _split_address(required.listen.ready), settings.Listen
     )
   except ValueError as exc:
     raise errors.SettingsError(
@@ -189,9 +192,9 @@
       "hosts_url": f"http://{store}",
       "limits": {"memory_mb": limits.memory_mb, "files": limits.max_fds},
       "proxy": {
-          "retry_ratio": bounds.retry_ratio * _RETRY_MARGIN,
+          "retry_ratio": bounds.retry_ratio * _RETRY_SHARE,
           "retry_burst": bounds.retry_slack
-          * _RETRY_MARGIN
+          * _RETRY_SHARE
           / members_lib.MAX_SMALL_FLEET,
       },
   }
--- a/mustardfall/platform/program.py
+++ b/mustardfall/platform/program.py
@@ -97,7 +97,7 @@
       config.router,
       clock,
       headers.Dialect(),
-      lambda caller: store.Store(config.store_address, caller, clock),
+      lambda http_client: store.Store(config.store_address, http_client, clock),
   )
   followers = followers_lib.Followers(gateway, gateway.kv, gateway.clock)
   await gateway.run(
--- a/mustardfall/platform/store.py
+++ b/mustardfall/platform/store.py
@@ -112,24 +112,24 @@
 
   Args:
     address: `HOST:PORT` of the store.
-    caller: sends the HTTP requests.
+    http_client: sends the HTTP requests.
     clock: the time source.
   """
 
   def __init__(
       self,
       address: str,
-      caller: http_client_lib.HttpClient,
+      http_client: http_client_lib.HttpClient,
       clock: clock_lib.Clock,
   ) -> None:
     self._address = address
-    self._caller = caller
+    self._http_client = http_client
     self._breaker = circuit_breaker.CircuitBreaker(clock)
 
   @property
   def calls(self) -> int:
     """Number of calls made so far."""
-    return self._caller.calls
+    return self._http_client.calls
 
   @property
   def reachable(self) -> bool:
@@ -137,7 +137,7 @@
     return not self._breaker.is_open
 
   async def close(self) -> None:
-    """Does nothing: `caller` owns the connections."""
+    """Does nothing: `http_client` owns the connections."""
 
   async def _call(
       self,
@@ -167,7 +167,7 @@
       )
     content = b"" if body is None else json.dumps(body).encode()
     try:
-      reply = await self._caller.call(
+      reply = await self._http_client.call(
           self._address, method, target, content, timeout_s
       )
     except errors.EndpointUnreachableError as exc:
--- a/mustardfall/proxy/endpoint_selector.py
+++ b/mustardfall/proxy/endpoint_selector.py
@@ -8,7 +8,7 @@
 from mustardfall.proxy import request_context as request_context_lib
 from mustardfall.routing import directory as directory_lib
 from mustardfall.routing import endpoints
-from mustardfall.routing import placement
+from mustardfall.routing import placement as placement_lib
 
 
 class EndpointAttempt:
@@ -16,7 +16,7 @@
 
   Args:
     context: the request.
-    place: the chosen endpoint and the expected times.
+    placement: the chosen endpoint and the expected times.
     directory: learns the endpoint's speed.
     load_share: reports load to all routers of a small fleet.
     trackers: reports load to the endpoint's trackers in a large fleet.
@@ -25,37 +25,39 @@
   def __init__(
       self,
       context: request_context_lib.RequestContext,
-      place: placement.Placement,
+      placement: placement_lib.Placement,
       directory: directory_lib.Directory,
       load_share: loadshare_lib.LoadShare,
       trackers: trackers_lib.Trackers,
   ) -> None:
     self._is_generation = bool(context.request.parts)
-    self._place = place
+    self._placement = placement
     self._directory = directory
     self._load_share = load_share
     self._trackers = trackers
     self._pending_prefill = request_context_lib.PendingPrefill(
-        place.row, place.prefill_s
+        placement.row, placement.prefill_s
     )
-    place.row.in_flight += 1
+    placement.row.in_flight += 1
     prefix = request_context_lib.prompt_for_placement(context.request).prefix
-    load_share.note_sent(place.row.life, prefix)
+    load_share.note_sent(placement.row.life, prefix)
     self._tracked_send: trackers_lib.TrackedRequest | None = None
     if trackers.is_used:
       self._tracked_send = trackers.note_sent(
-          place.row.life, prefix, place.prefill_s
+          placement.row.life, prefix, placement.prefill_s
       )
 
   def record_response_time(self, took_s: float) -> None:
     """Records how long the response took to begin, or was waited for."""
     if not self._is_generation:
       return
-    place = self._place
-    self._directory.endpoints.update_slowness(place.row, place.answer_s, took_s)
+    placement = self._placement
+    self._directory.endpoints.update_slowness(
+        placement.row, placement.answer_s, took_s
+    )
     if self._tracked_send is not None:
       self._trackers.note_first_token(
-          self._tracked_send, place.answer_s, took_s
+          self._tracked_send, placement.answer_s, took_s
       )
 
   def end_prefill(self) -> None:
@@ -65,7 +67,7 @@
 
   def end(self, failed: bool) -> None:
     """Records that the endpoint no longer works on the request."""
-    self._place.row.in_flight -= 1
+    self._placement.row.in_flight -= 1
     self.end_prefill()
     if self._tracked_send is not None:
       self._trackers.note_end(self._tracked_send, failed)
@@ -97,7 +99,7 @@
 
   async def select(
       self, context: request_context_lib.RequestContext
-  ) -> placement.Placement | None:
+  ) -> placement_lib.Placement | None:
     """Returns the endpoint expected to respond first; None if there is none.
 
     Endpoints that the request was not sent to yet are preferred.
@@ -106,26 +108,28 @@
     untried = [row for row in rows if row.name not in context.tried_endpoints]
     prompt = request_context_lib.prompt_for_placement(context.request)
     if not self._trackers.is_used:
-      return placement.choose(untried or rows, prompt, self._datacentre)
+      return placement_lib.choose(untried or rows, prompt, self._datacentre)
     return await self._select_tracked(untried or rows, prompt)
 
   async def _select_tracked(
-      self, rows: list[endpoints.Row], prompt: placement.Prompt
-  ) -> placement.Placement | None:
+      self, rows: list[endpoints.Row], prompt: placement_lib.Prompt
+  ) -> placement_lib.Placement | None:
     """Queries the load of a few endpoints, and of more while those are busy."""
-    place, asked, statuses = None, [], {}
-    rounds = placement.candidates(rows, prompt, self._datacentre, self._random)
+    placement, asked, statuses = None, [], {}
+    rounds = placement_lib.candidates(
+        rows, prompt, self._datacentre, self._random
+    )
     for found in rounds:
       asked += found
       lives = [one.row.life for one in found]
       if len(rows) > 1:
         statuses |= await self._trackers.survey(lives, prompt.prefix)
-      place = placement.choose_tracked(
+      placement = placement_lib.choose_tracked(
           asked, statuses, prompt, self._datacentre
       )
-      if place is None or not placement.is_busy(place, prompt):
+      if placement is None or not placement_lib.is_busy(placement, prompt):
         break
-    return place
+    return placement
 
   def record_unreachable(self, row: endpoints.Row) -> None:
     """Reports that an endpoint accepted no connection."""
@@ -137,9 +141,9 @@
   def start_attempt(
       self,
       context: request_context_lib.RequestContext,
-      place: placement.Placement,
+      placement: placement_lib.Placement,
   ) -> EndpointAttempt:
     """Counts a request as sent; the caller ends the returned attempt."""
     return EndpointAttempt(
-        context, place, self._directory, self._load_share, self._trackers
+        context, placement, self._directory, self._load_share, self._trackers
     )
--- a/mustardfall/proxy/exchange.py
+++ b/mustardfall/proxy/exchange.py
@@ -109,7 +109,8 @@
     earlier request on this connection; it is skipped.
 
     Raises:
-      errors.BrokenAnswerError: there is no response; the request may have run.
+      errors.InvalidResponseError: there is no response; the request may have
+        run.
     """
     result: list[messages.ResponseHead | errors.InvalidResponseError] = []
 
@@ -198,7 +199,7 @@
     """Yields the response body; returns only after the complete body.
 
     Raises:
-      errors.BrokenAnswerError: the body was cut off.
+      errors.InvalidResponseError: the body was cut off.
     """
     while True:
       event = await self._next_event()
@@ -218,7 +219,7 @@
       memory: limits the memory of the body; None for no limit.
 
     Raises:
-      errors.BrokenAnswerError: the body was cut off, is longer than
+      errors.InvalidResponseError: the body was cut off, is longer than
         `max_bytes`, or does not fit into `memory`.
     """
     out = bytearray()
--- a/mustardfall/proxy/forwarder.py
+++ b/mustardfall/proxy/forwarder.py
@@ -31,7 +31,7 @@
 from mustardfall.routing import configuration
 from mustardfall.routing import directory as directory_lib
 from mustardfall.routing import endpoints
-from mustardfall.routing import placement
+from mustardfall.routing import placement as placement_lib
 from mustardfall.routing import retries
 from mustardfall.util import clock as clock_lib
 
@@ -51,11 +51,11 @@
 _RESPONSE_TIMEOUT_FACTOR = 1.2
 """Multiple of the route's latency objective after which another endpoint is
 tried. A later response is worth less, and the route's timeout (about three
-objectives) leaves time for one more attempt."""
+times the objective) leaves time for one more attempt."""
 _FIRST_EVENT_TIMEOUT_FACTOR = 2.0
 """The same for the head of a streaming route's response. It is longer because
 another endpoint has to process the prompt again, and callers wait for four
-objectives."""
+times the objective."""
 _STREAM_STALL_S = 1.0
 """Pause in a stream after which it is resumed at another endpoint. Engines
 pause for tens of ms; callers disconnect after two seconds or more."""
@@ -108,9 +108,9 @@
         config, clock, directory, accounts, tasks, instruments
     )
     members = accounts.members
-    self._fleet = retries.FleetSize(clock, lambda: len(members.lives))
+    self._fleet_size = retries.FleetSize(clock, lambda: len(members.lives))
     self._request_log = request_log_lib.RequestLog(clock, instruments)
-    self._retries: dict[str, retries.RetryBudget] = {}
+    self._retry_budgets: dict[str, retries.RetryBudget] = {}
 
   async def handle(
       self,
@@ -137,11 +137,11 @@
       self._admission.bill(context)
 
   def _retry_budget(self, service: str) -> retries.RetryBudget:
-    budget = self._retries.get(service)
+    budget = self._retry_budgets.get(service)
     if budget is None:
       config = self._config.proxy
       budget = retries.RetryBudget(config.retry_ratio, self._retry_burst)
-      self._retries[service] = budget
+      self._retry_budgets[service] = budget
     return budget
 
   def _retry_burst(self) -> float:
@@ -149,7 +149,7 @@
     return retries.burst_per_router(
         self._config.proxy.retry_burst,
         members_lib.MAX_SMALL_FLEET,
-        self._fleet.peak(),
+        self._fleet_size.peak(),
     )
 
   async def _serve(self, context: request_context_lib.RequestContext) -> None:
@@ -168,16 +168,16 @@
       self, context: request_context_lib.RequestContext
   ) -> None:
     while True:
-      place = await self._endpoint_selector.select(context)
+      placement = await self._endpoint_selector.select(context)
       self._crash_guard.refuse_quarantined(context)
-      if place is None:
+      if placement is None:
         await self._finish_unserved(context)
         return
       try:
-        await self._attempt(context, place)
+        await self._attempt(context, placement)
         return
       except _RetryableError as exc:
-        self._request_log.log_failed_attempt(context, place.row, str(exc))
+        self._request_log.log_failed_attempt(context, placement.row, str(exc))
       if not self._may_retry(context):
         await self._finish_unserved(context)
         return
@@ -187,12 +187,12 @@
       return False
     if context.may_have_run and not context.route.repeatable:
       return False
-    if context.sends >= context.route.max_attempts:
+    if context.attempts_sent >= context.route.max_attempts:
       return False
     if context.failed_connects >= _MAX_FAILED_CONNECTS:
       return False
     return (
-        context.sends == 0
+        context.attempts_sent == 0
         or self._retry_budget(context.service.name).withdraw()
     )
 
@@ -214,7 +214,7 @@
   async def _attempt(
       self,
       context: request_context_lib.RequestContext,
-      place: placement.Placement,
+      placement: placement_lib.Placement,
   ) -> None:
     """Sends the request to one endpoint and relays its response.
 
@@ -222,12 +222,12 @@
       _RetryableError: the attempt failed, and the response is not complete.
       refusals.RefusalError: the request failed and must not be retried.
     """
-    row = place.row
+    row = placement.row
     context.tried_endpoints.add(row.name)
     context.endpoint = row.name
     try:
       connection = await self._connection_pool.acquire(
-          row.url, _CONNECT_S, force_new=context.sends > 0
+          row.url, _CONNECT_S, force_new=context.attempts_sent > 0
       )
     except errors.EndpointUnreachableError as exc:
       context.failed_connects += 1
@@ -244,13 +244,15 @@
         ),
         context.body,
     )
-    attempt = self._endpoint_selector.start_attempt(context, place)
+    attempt = self._endpoint_selector.start_attempt(context, placement)
     may_have_run_before, context.may_have_run = context.may_have_run, True
-    context.sends += 1
+    context.attempts_sent += 1
     sent_at = self._clock.monotonic()
     failed = False
     try:
-      await self._relay(context, place, exchange, may_have_run_before, attempt)
+      await self._relay(
+          context, placement, exchange, may_have_run_before, attempt
+      )
     except errors.InvalidResponseError as exc:
       failed = True
       row.failures += 1
@@ -283,12 +285,12 @@
   async def _relay(
       self,
       context: request_context_lib.RequestContext,
-      place: placement.Placement,
+      placement: placement_lib.Placement,
       exchange: exchange_lib.Exchange,
       may_have_run_before: bool,
       attempt: endpoint_selector_lib.EndpointAttempt,
   ) -> None:
-    row = place.row
+    row = placement.row
     sent_at = self._clock.monotonic()
     try:
       with self._attempt_timeout(context, self._head_timeout_s(context)):
@@ -298,7 +300,7 @@
     except errors.InvalidResponseError:
       # An early failure says nothing about the endpoint's speed.
       waited_s = self._clock.monotonic() - sent_at
-      if waited_s > place.answer_s:
+      if waited_s > placement.answer_s:
         attempt.record_response_time(waited_s)
       raise
     attempt.record_response_time(self._clock.monotonic() - sent_at)
@@ -405,7 +407,8 @@
     is no reason to fail the request.
     """
     another = (
-        context.route.repeatable and context.sends < context.route.max_attempts
+        context.route.repeatable
+        and context.attempts_sent < context.route.max_attempts
     )
     with anyio.move_on_after(limit_s if another else math.inf) as scope:
       yield
@@ -433,7 +436,9 @@
   ) -> None:
     self._request_log.log_refusal(request, refusal, context)
     if responder.started:
-      return  # the connection is cut off: the response must not look complete
+      # The caller's connection is then closed early, so that the response does
+      # not look complete.
+      return
     headers = self._dialect.encode_refusal(request.id, refusal.retry_after_s)
     body = refusal.reason.encode()
     await responder.respond(refusal.status, headers, body)
--- a/mustardfall/proxy/http_client.py
+++ b/mustardfall/proxy/http_client.py
@@ -68,7 +68,7 @@
 
     Raises:
       errors.EndpointUnreachableError: the call was not sent.
-      errors.BrokenAnswerError: the call was sent, and no complete response
+      errors.InvalidResponseError: the call was sent, and no complete response
         arrived in time.
     """
     self.calls += 1
--- a/mustardfall/proxy/request_context.py
+++ b/mustardfall/proxy/request_context.py
@@ -28,7 +28,7 @@
   fingerprint: str
   """Identifies repetitions of the same request, see `routing.quarantine`."""
   reservation: allotment.Reservation | None = None
-  sends: int = 0
+  attempts_sent: int = 0
   """Number of attempts, each of which sent the request to an endpoint."""
   failed_connects: int = 0
   may_have_run: bool = False
--- a/mustardfall/proxy/resource_limiter.py
+++ b/mustardfall/proxy/resource_limiter.py
@@ -20,7 +20,7 @@
 """Share of the host's memory limit that may be in use; allocators hold more
 memory than the program uses."""
 _MIN_BYTES = 16_000_000
-"""Memory for callers on the smallest hosts, where the above leaves less."""
+"""Minimum memory for callers, on hosts whose limit leaves less."""
 _RESERVED_FILES = 400
 """File descriptors reserved for the program's own files (200 of them), the
 store and other routers."""
@@ -83,7 +83,7 @@
     return {"connections": self.connections, "held_bytes": self.held_bytes}
 
   def new_allocation(self) -> "Allocation":
-    """Returns an allocation; its connection or request closes it at its end."""
+    """Returns an allocation; the connection or request must close it."""
     return Allocation(self)
 
   def fits(self, size: int, share: float = 1.0) -> bool:
@@ -123,7 +123,10 @@
     self._grow(CONNECTION_BYTES)
 
   def allocate(self, size: int, share: float = 1.0) -> bool:
-    """Allocates `size` more bytes; returns False, without effect, if too many.
+    """Allocates `size` more bytes.
+
+    Returns False, without effect, if they do not fit.
+
 
     Args:
       size: bytes.
--- a/mustardfall/util/serving.py
+++ b/mustardfall/util/serving.py
@@ -47,7 +47,8 @@
   The receiver stays open after the first signal. Otherwise a second SIGTERM,
   for instance of a supervisor, would kill the process and interrupt the
   streams that may still finish. SIGHUP is received for the same reason and
-  otherwise ignored: a daemon reads its settings only at its start.
+  otherwise ignored: the processes served by this module read their settings
+  only at the start.
   """
   receiver = anyio.open_signal_receiver(
       signal.SIGTERM, signal.SIGINT, signal.SIGHUP
--- a/mustardfall/util/sockets.py
+++ b/mustardfall/util/sockets.py
@@ -43,7 +43,7 @@
   """Binds a port, retrying as long as that fails.
 
   The previous process or another program may hold the port. If this process
-  exited instead, it would be restarted only to find the same.
+  exited instead, it would be restarted and would find the port still in use.
 
   Args:
     purpose: what the port is for; logged.
--- a/tests/platformcase.py
+++ b/tests/platformcase.py
@@ -191,7 +191,9 @@
         found.router,
         clock,
         headers.Dialect(),
-        lambda caller: client_lib.Store(found.store_address, caller, clock),
+        lambda http_client: client_lib.Store(
+            found.store_address, http_client, clock
+        ),
         ((b"x-host", name.encode()),),
     )
     if started is not None:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,7 +1,7 @@
-"""No outside cause ends a router's process.
+"""Tests that external faults do not end a router's process.
 
 When a process ends, all its open streams are cut off and the budget tokens that
-it holds are unavailable for a while. Each test applies one outside cause: a
+it holds are unavailable for a while. Each test applies one external fault: a
 signal, a settings file, an occupied port, callers, the store or other routers.
 The router must refuse, wait or keep running, and log it.
 """
@@ -32,10 +32,10 @@
   @processcase.in_environment()
   async def test_reload_signal_during_the_start(self, env):
     # The settings file changes just after the process started. A SIGHUP that
-    # arrived before its handler was installed ended the process. It is sent
-    # repeatedly during the start, from the first moment at which the program's
-    # own code runs. The interpreter's start before that takes some 20 ms, and
-    # many times that on a busy machine.
+    # arrived before its handler was installed used to end the process. It is
+    # sent repeatedly during the start, from the first moment at which the
+    # program's own code runs. The interpreter's start before that takes some
+    # 20 ms, and many times that on a busy machine.
     env.router.start()
     with anyio.fail_after(10):
       while not env.router.ignores(signal.SIGHUP):
@@ -74,7 +74,7 @@
   @processcase.in_environment()
   async def test_invalid_file_at_reload(self, env):
     # A list instead of an object, fields that are null, or a truncated file
-    # ended the router. It must keep its current settings.
+    # used to end the router. It must keep its current settings.
     env.router.start()
     await env.router.wait_until_ready()
     whole = env.router.settings
@@ -137,7 +137,7 @@
   @processcase.in_environment()
   async def test_occupied_metrics_port(self, env):
     # The platform does not reserve this port. With the port occupied the router
-    # never became ready, and ended. It must serve callers without metrics.
+    # used to end without becoming ready. It must serve callers without metrics.
     port = fleet.free_port()
     env.router.router_settings["proxy"] = {"metrics_port": port}
     occupied = self._occupy(port)
@@ -165,8 +165,8 @@
     await env.router.wait_until_logged("port not open")
     await anyio.sleep(1.0)
     self.assertTrue(env.router.is_running, env.router.log[-3000:])
-    for connections in occupied:
-      connections.close()
+    for sock in occupied:
+      sock.close()
     await env.router.wait_until_ready()
     self.assertEqual(200, (await env.call("/look/a", "r1")).status)
 
@@ -176,7 +176,7 @@
   @processcase.in_environment()
   async def test_more_connections_than_descriptors(self, env):
     # Callers open more connections than the process has file descriptors. A
-    # failed accept ended the accept loop, and with it the process. The router
+    # failed accept used to end the accept loop and the process. The router
     # must close the longest idle connections, refuse callers with 503 if there
     # are none, and keep descriptors for its own calls.
     env.router.max_files = 120
@@ -382,7 +382,7 @@
   async def _serve_malformed_responses(
       self, port: int, called_paths: list[str]
   ) -> None:
-    """Responds to other routers' calls as another version might."""
+    """Responds to other routers' calls with malformed or unexpected JSON."""
     responses = itertools.cycle(
         (
             b"{}",
@@ -412,8 +412,9 @@
   @processcase.in_environment()
   async def test_peer_of_another_version_responds_with_other_fields(self, env):
     # A budget's owner is a router of another version, whose responses have
-    # other fields. Each such response ended the calling router. It must go on
-    # as if there had been no response, and take tokens from the store itself.
+    # other fields. Each such response used to end the calling router. It must
+    # go on as if there had been no response, and take tokens from the store
+    # itself.
     port, called_paths = fleet.free_port(), []
     for number in range(8):
       member = {
@@ -451,11 +452,11 @@
     datagrams += [b"l" + b"[" * 9000, b"n" + b"[" * 9000, b"\xff" * 500]
     datagrams += [b'l["r",1,{"i":[1,2]},{"i":[3]}]', b'l[{},[],"x",3]']
     datagrams += [b"s", b"s[]", b's["f", 1, {}, "x"]', b's["f","t","e",NaN]']
-    for told in (3, [], [3], [[1, 2, 3]], [["f", "t", "x"]], {"f": "t"}):
-      datagrams.append(b"v" + zlib.compress(json.dumps(told).encode()))
+    for verdicts in (3, [], [3], [[1, 2, 3]], [["f", "t", "x"]], {"f": "t"}):
+      datagrams.append(b"v" + zlib.compress(json.dumps(verdicts).encode()))
     for datagram in datagrams:
-      where = ("127.0.0.1", env.router.settings["port_range"][0])
-      udp.sendto(datagram, where)
+      address = ("127.0.0.1", env.router.settings["port_range"][0])
+      udp.sendto(datagram, address)
     bodies = [b"", b"3", b"[]", b"null", b'{"budget": 3}', b"[" * 20_000]
     bodies += [b'{"names": ["op/config"], "want": 3, "have": [1]}']
     bodies += [b'{"names": ["op/config"], "want": {"op/config": 3}}']
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -13,7 +13,7 @@
 from mustardfall.kv import protocol
 from mustardfall.platform import store as client_lib
 from mustardfall.proxy import connection_pool
-from mustardfall.proxy import http_client
+from mustardfall.proxy import http_client as http_client_lib
 from mustardfall.util import clock as clock_lib
 
 
@@ -25,11 +25,11 @@
       clock = clock_lib.SystemClock()
       server = emulated.Store(clock)
       port = fleet.free_port()
-      caller = http_client.HttpClient(
+      http_client = http_client_lib.HttpClient(
           connection_pool.ConnectionPool(clock),
           overhead.Overhead(metrics.Instruments("r")),
       )
-      client = client_lib.Store(f"127.0.0.1:{port}", caller, clock)
+      client = client_lib.Store(f"127.0.0.1:{port}", http_client, clock)
       with anyio.fail_after(20):
         async with anyio.create_task_group() as tg:
           tg.start_soon(server.serve, port)
