--- a/mustardfall/api/chat.py
+++ b/mustardfall/api/chat.py
@@ -281,7 +281,7 @@
       async for block in stream.relay():
         call.note_first_token()
         yield block
-    except (httpx.HTTPError, errors.CrossedAnswerError, ValueError) as exc:
+    except (httpx.HTTPError, errors.MismatchedResponseError, ValueError) as exc:
       logger.debug("engine stream broke: %r", exc)
     if stream.done and stream.usage is not None:
       call.settle(stream.usage, calls.End.COMPLETED)
--- a/mustardfall/api/relay.py
+++ b/mustardfall/api/relay.py
@@ -75,7 +75,7 @@
         return
       self._id = found.group(1)
     if block.count(_EVENT) > block.count(self._id):
-      raise errors.CrossedAnswerError("event with another answer's id")
+      raise errors.MismatchedResponseError("event with another answer's id")
 
   def _take_notes(self, block: bytes) -> bytes:
     """Notes usage and end; returns the events to pass on."""
--- a/mustardfall/errors.py
+++ b/mustardfall/errors.py
@@ -29,7 +29,7 @@
   """Another operator changed the catalogue first; nothing was written."""
 
 
-class CrossedAnswerError(Error):
+class MismatchedResponseError(Error):
   """An engine sent an event of another answer; the stream must end."""
 
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -82,4 +82,4 @@
 
   def test_event_with_another_id_is_refused(self):
     raw = _text("mine") + _text("theirs", answer="a2") + _DONE
-    self.assertRaises(errors.CrossedAnswerError, _relay, raw, [])
+    self.assertRaises(errors.MismatchedResponseError, _relay, raw, [])
