--- a/mustardfall/errors.py
+++ b/mustardfall/errors.py
@@ -58,9 +58,9 @@
   """No connection to an endpoint could be made: the request was not sent."""
 
 
-class BrokenAnswerError(Error):
+class BadResponseError(Error):
   """An endpoint's answer ended early or is not one: it may have run."""
 
 
-class SilentEndpointError(BrokenAnswerError):
+class SilentEndpointError(BadResponseError):
   """An endpoint gave no answer for too long; nothing says that it ended."""
--- a/mustardfall/gateway.py
+++ b/mustardfall/gateway.py
@@ -156,7 +156,7 @@
       return json.loads(reply.body)
     except (
         errors.EndpointUnreachableError,
-        errors.BrokenAnswerError,
+        errors.BadResponseError,
         ValueError,
     ) as exc:
       raise errors.PeerUnavailableError(repr(exc)) from exc
--- a/mustardfall/platform/store.py
+++ b/mustardfall/platform/store.py
@@ -164,7 +164,7 @@
     except errors.EndpointUnreachableError as exc:
       self._contact.note(str(exc))
       raise errors.KvUnavailableError(str(exc)) from exc
-    except errors.BrokenAnswerError as exc:
+    except errors.BadResponseError as exc:
       self._contact.note(str(exc))
       raise errors.KvUnknownError(str(exc)) from exc
     if reply.status in _NOT_DONE:
--- a/mustardfall/proxy/calls.py
+++ b/mustardfall/proxy/calls.py
@@ -91,7 +91,7 @@
       self._overhead.note(overhead_lib.name_call(target), size)
       await exchange.close()
     assert scope.cancelled_caught
-    raise errors.BrokenAnswerError(f"{target}: no answer in {timeout_s} s")
+    raise errors.BadResponseError(f"{target}: no answer in {timeout_s} s")
 
 
 async def _read_content(
@@ -103,7 +103,7 @@
   async for data in exchange.body():
     content += data
     if len(content) > _MOST_BYTES:
-      raise errors.BrokenAnswerError(f"body over {_MOST_BYTES} bytes")
+      raise errors.BadResponseError(f"body over {_MOST_BYTES} bytes")
     silent_at = anyio.current_time() + _SILENCE_S
     scope.deadline = min(ends, max(scope.deadline, silent_at))
   return bytes(content)
--- a/mustardfall/proxy/exchange.py
+++ b/mustardfall/proxy/exchange.py
@@ -111,12 +111,12 @@
     Raises:
       errors.BrokenAnswerError: no answer; the request may have run.
     """
-    result: list[messages.Answer | errors.BrokenAnswerError] = []
+    result: list[messages.Answer | errors.BadResponseError] = []
 
     async def _read() -> None:
       try:
         result.append(await self._read_head(decode, request_id))
-      except errors.BrokenAnswerError as exc:
+      except errors.BadResponseError as exc:
         result.append(exc)
 
     # Read while sending: a server may answer, or refuse, a long request
@@ -126,7 +126,7 @@
       await _read()
       tg.cancel_scope.cancel()
     found = result[0]
-    if isinstance(found, errors.BrokenAnswerError):
+    if isinstance(found, errors.BadResponseError):
       raise found
     self._idle_s = found.idle_s
     self._last_use = found.last_use
@@ -153,19 +153,19 @@
       while isinstance(event, h11.InformationalResponse):
         event = await self._next_event()
       if not isinstance(event, h11.Response):
-        raise errors.BrokenAnswerError("no answer before the end")
+        raise errors.BadResponseError("no answer before the end")
       answer = decode(event.status_code, list(event.headers))
       if answer.request_id in (request_id, ""):
         self._length = messages.length_of(event.headers)
         return answer
       await self._pass_over(event)
-    raise errors.BrokenAnswerError("answers of other requests only")
+    raise errors.BadResponseError("answers of other requests only")
 
   async def _pass_over(self, head: h11.Response) -> None:
     """Reads another request's answer to its end."""
     names = {name for name, _ in head.headers}
     if not names & {b"content-length", b"transfer-encoding"}:
-      raise errors.BrokenAnswerError("another request's answer, no length")
+      raise errors.BadResponseError("another request's answer, no length")
     while not isinstance(await self._next_event(), h11.EndOfMessage):
       pass
     rest, ended = self._parser.trailing_data
@@ -180,7 +180,7 @@
       while True:
         event = self._parser.next_event()
         if event is h11.PAUSED or isinstance(event, h11.ConnectionClosed):
-          raise errors.BrokenAnswerError("connection ended")
+          raise errors.BadResponseError("connection ended")
         if event is not h11.NEED_DATA:
           return event
         try:
@@ -190,7 +190,7 @@
         self.received = self.received or bool(data)
         self._parser.receive_data(data)
     except _BROKEN as exc:
-      raise errors.BrokenAnswerError(repr(exc)) from exc
+      raise errors.BadResponseError(repr(exc)) from exc
 
   async def body(self) -> AsyncIterator[bytes]:
     """Yields the answer's body; ends only where the body is whole.
@@ -220,13 +220,13 @@
     out = bytearray()
     length = min(self._length, most)
     if room is not None and length and not await room.hold_whole(length):
-      raise errors.BrokenAnswerError(f"no room for {length} bytes")
+      raise errors.BadResponseError(f"no room for {length} bytes")
     async for data in self.body():
       out += data
       if len(out) > most:
-        raise errors.BrokenAnswerError(f"body over {most} bytes")
+        raise errors.BadResponseError(f"body over {most} bytes")
       if room is not None and not length and not room.hold(len(data)):
-        raise errors.BrokenAnswerError(f"no room after {len(out)} bytes")
+        raise errors.BadResponseError(f"no room after {len(out)} bytes")
     return bytes(out)
 
   async def close(self) -> None:
--- a/mustardfall/proxy/forwarder.py
+++ b/mustardfall/proxy/forwarder.py
@@ -229,7 +229,7 @@
     failed = False
     try:
       await self._relay(job, place, exchange, ran_before, visit)
-    except errors.BrokenAnswerError as exc:
+    except errors.BadResponseError as exc:
       failed = True
       row.failures += 1
       if not isinstance(exc, errors.SilentEndpointError):
@@ -271,7 +271,7 @@
         answer = await exchange.start(
             self._dialect.decode_answer, job.request.id
         )
-    except errors.BrokenAnswerError:
+    except errors.BadResponseError:
       # It may have failed at once, which says nothing of its speed.
       waited_s = self._clock.monotonic() - sent_at
       if waited_s > place.answer_s:
@@ -291,7 +291,7 @@
       await exchange.read_body(_MOST_BODY_BYTES)
       raise _Again(f"not run: {answer.status}")
     if answer.encoded or not answer.signed or not answer.request_id:
-      raise errors.BrokenAnswerError("not the endpoint's own answer")
+      raise errors.BadResponseError("not the endpoint's own answer")
     if answer.events and answer.status == _OK:
       await self._relay_events(job, exchange, answer)
     else:
@@ -311,7 +311,7 @@
       job.failure = (answer, body)
       raise _Again(f"status {answer.status}")
     if job.responder.started:
-      raise errors.BrokenAnswerError(f"status {answer.status} for the rest")
+      raise errors.BadResponseError(f"status {answer.status} for the rest")
     await self._answer(job, answer, body)
 
   async def _answer(
@@ -336,9 +336,9 @@
         if wanted:
           await self._pass_on(job, answer, b"".join(wanted))
     except ValueError as exc:
-      raise errors.BrokenAnswerError(str(exc)) from exc
+      raise errors.BadResponseError(str(exc)) from exc
     if splitter.rest:
-      raise errors.BrokenAnswerError("ended within an event")
+      raise errors.BadResponseError("ended within an event")
     self._guard.note_answered(job)
     await self._pass_on(job, answer, b"")
     await job.responder.end()
