--- a/mustardfall/errors.py
+++ b/mustardfall/errors.py
@@ -62,5 +62,5 @@
   """An endpoint's answer ended early or is not one: it may have run."""
 
 
-class SilentEndpointError(BadResponseError):
+class ResponseTimeoutError(BadResponseError):
   """An endpoint gave no answer for too long; nothing says that it ended."""
--- a/mustardfall/proxy/forwarder.py
+++ b/mustardfall/proxy/forwarder.py
@@ -232,7 +232,7 @@
     except errors.BadResponseError as exc:
       failed = True
       row.failures += 1
-      if not isinstance(exc, errors.SilentEndpointError):
+      if not isinstance(exc, errors.ResponseTimeoutError):
         ran_s = self._clock.monotonic() - sent_at
         await self._guard.note_broken(job, row, ran_s)
       raise _Again(str(exc)) from exc
@@ -373,7 +373,7 @@
     with anyio.move_on_after(limit_s if another else math.inf) as scope:
       yield
     if scope.cancelled_caught:
-      raise errors.SilentEndpointError(f"silent for {limit_s:.2f} s")
+      raise errors.ResponseTimeoutError(f"silent for {limit_s:.2f} s")
 
   async def _pass_on(
       self, job: job_lib.Job, answer: messages.Answer, data: bytes
