--- a/mustardfall/catalogue/store.py
+++ b/mustardfall/catalogue/store.py
@@ -142,7 +142,7 @@
   found = await _read(kv)
   base = found.revision if spec.base is None else spec.base
   if base != found.revision:
-    raise errors.CatalogueRaceLostError(
+    raise errors.CatalogueConflictError(
         f"catalogue is at {found.revision}, not {base}"
     )
   # Before the entries: an entry in force without its budget would have
@@ -227,7 +227,7 @@
       raise
     return record.mod_revision
   if not result.succeeded:
-    raise errors.CatalogueRaceLostError(f"catalogue moved past {revision}")
+    raise errors.CatalogueConflictError(f"catalogue moved past {revision}")
   return result.revision
 
 
