--- a/mustardfall/errors.py
+++ b/mustardfall/errors.py
@@ -47,7 +47,7 @@
     self.retry_after_s = retry_after_s
 
 
-class BusyError(BadRequestError):
+class OverloadedError(BadRequestError):
   """There is no room for a request that has not been read whole."""
 
   def __init__(self, reason: str, retry_after_s: float) -> None:
--- a/mustardfall/proxy/front.py
+++ b/mustardfall/proxy/front.py
@@ -386,13 +386,13 @@
   def _take(self, size: int) -> None:
     """Holds `size` more bytes for the request; raises `errors.BusyError`."""
     if not self._front.make_room(self._held, size):
-      raise errors.BusyError("no room", _COME_BACK_S)
+      raise errors.OverloadedError("no room", _COME_BACK_S)
 
   def _take_body(self, size: int) -> None:
     """Holds `size` bytes of the request's body; raises `errors.BusyError`."""
     copies, share = room_lib.COPIES * size, room_lib.BODIES_SHARE
     if size and not self._front.make_room(self._held, copies, share):
-      raise errors.BusyError("no room for a body", _COME_BACK_S)
+      raise errors.OverloadedError("no room for a body", _COME_BACK_S)
 
   def hold_answer(self, size: int) -> bool:
     """Holds `size` bytes of an answer; returns False if they don't fit."""
@@ -413,7 +413,9 @@
 
   async def refuse_connection(self) -> None:
     """Tells the caller, before it is read, that there is no room for it."""
-    await self._refuse(Responder(self), errors.BusyError("full", _COME_BACK_S))
+    await self._refuse(
+        Responder(self), errors.OverloadedError("full", _COME_BACK_S)
+    )
     await self._linger()
 
   async def _read_body(self, head: h11.Request) -> bytes:
