--- a/mustardfall/api/relay.py
+++ b/mustardfall/api/relay.py
@@ -47,7 +47,7 @@
     otherwise take a part for the whole.
 
     Raises:
-      errors.CrossedAnswerError: an event of another answer came.
+      errors.MismatchedResponseError: an event of another answer came.
       httpx.HTTPError: the connection broke.
     """
     rest = b""
--- a/mustardfall/catalogue/store.py
+++ b/mustardfall/catalogue/store.py
@@ -136,7 +136,7 @@
     The new revision.
 
   Raises:
-    errors.CatalogueRaceLostError: the revision moved since `spec.base`, or
+    errors.CatalogueConflictError: the revision moved since `spec.base`, or
       since our read when no base was given.
   """
   found = await _read(kv)
--- a/mustardfall/proxy/calls.py
+++ b/mustardfall/proxy/calls.py
@@ -67,7 +67,7 @@
 
     Raises:
       errors.EndpointUnreachableError: not sent.
-      errors.BrokenAnswerError: sent, and no whole answer came in time.
+      errors.BadResponseError: sent, and no whole answer came in time.
     """
     self.calls += 1
     size = len(body)
--- a/mustardfall/proxy/exchange.py
+++ b/mustardfall/proxy/exchange.py
@@ -109,7 +109,7 @@
     was expected: they are passed over.
 
     Raises:
-      errors.BrokenAnswerError: no answer; the request may have run.
+      errors.BadResponseError: no answer; the request may have run.
     """
     result: list[messages.Answer | errors.BadResponseError] = []
 
@@ -196,7 +196,7 @@
     """Yields the answer's body; ends only where the body is whole.
 
     Raises:
-      errors.BrokenAnswerError: it ended before its end.
+      errors.BadResponseError: it ended before its end.
     """
     while True:
       event = await self._next_event()
@@ -214,7 +214,7 @@
       room: where it is held; None: it is not counted.
 
     Raises:
-      errors.BrokenAnswerError: it ended early, is longer than `most`, or
+      errors.BadResponseError: it ended early, is longer than `most`, or
         there is no room for it.
     """
     out = bytearray()
--- a/mustardfall/proxy/front.py
+++ b/mustardfall/proxy/front.py
@@ -384,12 +384,12 @@
     )
 
   def _take(self, size: int) -> None:
-    """Holds `size` more bytes for the request; raises `errors.BusyError`."""
+    """Holds `size` more bytes for the request; raises `errors.OverloadedError`."""
     if not self._front.make_room(self._held, size):
       raise errors.OverloadedError("no room", _COME_BACK_S)
 
   def _take_body(self, size: int) -> None:
-    """Holds `size` bytes of the request's body; raises `errors.BusyError`."""
+    """Holds `size` bytes of the request's body; raises `errors.OverloadedError`."""
     copies, share = room_lib.COPIES * size, room_lib.BODIES_SHARE
     if size and not self._front.make_room(self._held, copies, share):
       raise errors.OverloadedError("no room for a body", _COME_BACK_S)
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -85,7 +85,7 @@
 
   def test_racing_operators_one_wins_other_is_told(self):
     # Two operators edit from the same revision; the second apply is
-    # refused with CatalogueRaceLostError and nothing is overwritten.
+    # refused with CatalogueConflictError and nothing is overwritten.
     async def go():
       kv, _ = kvfake.make()
       base = await store.apply(kv, sample.catalogue())
