--- a/mustardfall/api/chat.py
+++ b/mustardfall/api/chat.py
@@ -49,7 +49,7 @@
   idem_key: str
 
 
-def prompt_bound(body: dict[str, Any]) -> int:
+def max_prompt_tokens(body: dict[str, Any]) -> int:
   """Returns an upper bound of the prompt's tokens: its UTF-8 bytes.
 
   No tokenizer yields more tokens than bytes, so a reservation built on
@@ -99,7 +99,7 @@
     upstream["stream_options"] = {"include_usage": True}
   return _Ask(
       body=upstream,
-      tokens=prompt_bound(body) + most,
+      tokens=max_prompt_tokens(body) + most,
       stream=stream,
       want_usage=bool(options.get("include_usage")),
       idem_key=request.headers.get(replies.IDEMPOTENCY_HEADER, ""),
--- a/mustardfall/bench/load.py
+++ b/mustardfall/bench/load.py
@@ -134,7 +134,7 @@
         "stream": True,
         "stream_options": {"include_usage": True},
     }
-    need = chat.prompt_bound(body) + words
+    need = chat.max_prompt_tokens(body) + words
     account = self.accounts[entry.name]
     covered = account.covers(need)
     account.in_flight += need
