--- a/mustardfall/router.py
+++ b/mustardfall/router.py
@@ -73,7 +73,7 @@
         self.bus,
         self._post,
         self._policy_of,
-        lease_of=self._lease_of,
+        get_lease=self._lease_of,
     )
     self.writer = self.accounts.writer
     self.members = self.accounts.members
