--- a/mustardfall/accounts.py
+++ b/mustardfall/accounts.py
@@ -39,7 +39,7 @@
     post: makes calls to other routers.
     policy_of: returns a customer's policy.
     limit_of: see `pool.Pool`.
-    lease_of: returns the lease to attach to a key (0: none).
+    get_lease: returns the lease to attach to a key (0: none).
     epoch: tells this life from others; drawn when left out.
     budgets: returns the budgets that the configuration sets.
   """
--- a/mustardfall/kv/writer.py
+++ b/mustardfall/kv/writer.py
@@ -67,7 +67,7 @@
     config: batch size and pace.
     clock: the time source.
     on_value: called with `(key, value)` for each value read or written.
-    lease_of: returns the lease to attach to a key (0: none).
+    get_lease: returns the lease to attach to a key (0: none).
   """
 
   def __init__(
