--- a/mustardfall/api/__init__.py
+++ b/mustardfall/api/__init__.py
@@ -1,1 +1,1 @@
-"""The HTTP fronts of a router: callers, other routers, operators."""
+"""HTTP APIs of a router, for callers, other routers and operators."""
--- a/mustardfall/api/calls.py
+++ b/mustardfall/api/calls.py
@@ -1,9 +1,9 @@
-"""One admitted request: its tokens, its record and its bill.
+"""An admitted request: token reservation, idempotency record and billing.
 
 `Call` is a context manager around everything a handler does for a
-request after admission. However the handler ends (an answer, an error,
-the caller gone), the reservation is settled exactly once and the place
-at the endpoint is given back.
+request after admission. However the handler ends (a response, an error
+or a disconnected caller), the reservation is settled exactly once and
+the endpoint's slot is released.
 """
 
 from collections.abc import Iterator
@@ -21,8 +21,8 @@
 from mustardfall.routing import scheduler
 
 
-class End(enum.StrEnum):
-  """How a call ended, as counted in the metrics."""
+class CallResult(enum.StrEnum):
+  """How a call ended; the value is the `outcome` label of the metrics."""
 
   COMPLETED = "completed"
   NOT_RUN = "not_run"
@@ -32,34 +32,36 @@
   REPLAYED = "replayed"
 
 
-def attributes(entry: table.Found) -> dict[str, str]:
-  """Returns the metric attributes of an entry: tenant and class."""
+def metric_attributes(entry: table.Found) -> dict[str, str]:
+  """Returns the metric attributes of an entry: customer and class."""
   return {"customer": entry.customer, "class": entry.klass.value}
 
 
-def count(router: router_lib.Router, entry: table.Found, end: End) -> None:
-  """Counts one request's end."""
+def count_result(
+    router: router_lib.Router, entry: table.Found, result: CallResult
+) -> None:
+  """Counts one finished request by its result."""
   router.instruments.outcomes.add(
-      1, {**attributes(entry), "outcome": end.value}
+      1, {**metric_attributes(entry), "outcome": result.value}
   )
-  router.counts[end.value] += 1
+  router.counts[result.value] += 1
 
 
 async def admit(
     router: router_lib.Router, entry: table.Found, tokens: int
 ) -> "Call | verdict.Verdict":
-  """Admits a request that may use `tokens`, or refuses it at once."""
+  """Reserves `tokens` for a request, or rejects it without waiting."""
   router.retries.deposit()
   reservation = await router.pool.reserve(entry.name, tokens, entry.customer)
   if reservation is None:
-    count(router, entry, End.REFUSED)
-    # A router that draws through the budget's owner may never have seen the
-    # ledger; told to come back, a hopeless request would do so for ever.
+    count_result(router, entry, CallResult.REFUSED)
+    # A router that gets its tokens from the budget's owner may not have read
+    # the ledger yet. The limit is looked up so that a request larger than the
+    # whole budget gets a final 402 instead of being retried for ever.
     known = await router.accounts.look_up(entry.name)
     if known is not None and tokens > known.limit:
-      # Come back, and it would be refused for ever.
       return verdict.refuse(
-          f"needs {tokens} tokens, the whole budget has {known.limit}",
+          f"request needs {tokens} tokens, the budget's limit is {known.limit}",
           None,
           402,
       )
@@ -74,8 +76,8 @@
 
   Args:
     router: the router.
-    entry: the caller's entry.
-    reservation: the tokens set aside for it.
+    entry: the catalogue entry of the caller.
+    reservation: the tokens reserved for the request.
   """
 
   def __init__(
@@ -89,101 +91,102 @@
     self.reservation = reservation
     self._started = router.clock.monotonic()
     self._sent = self._started
-    self._answered = False
+    self._first_token_recorded = False
     self._settled = False
-    self._handed_over = False
-    self._want: scheduler.Want | None = None
-    self.row: endpoints.Row | None = None
+    self._transferred = False
+    self._slot_request: scheduler.Want | None = None
+    self.endpoint: endpoints.Row | None = None
     self._idem_key = ""
     self._claim = ""
-    """This try's claim on the caller's Idempotency-Key, if any."""
+    """Id of this call's claim on the caller's Idempotency-Key; empty: none."""
 
   @contextlib.contextmanager
-  def unless_handed_over(self) -> Iterator[None]:
-    """Ends the call with the block, unless `hand_over` was called in it."""
+  def close_unless_transferred(self) -> Iterator[None]:
+    """Closes the call with the block, unless `transfer` was called in it."""
     try:
       yield
     finally:
-      if not self._handed_over:
+      if not self._transferred:
         self.__exit__(None, None, None)
 
-  def hand_over(self) -> "Call":
-    """Leaves the end of the call to whoever enters it next."""
-    self._handed_over = True
+  def transfer(self) -> "Call":
+    """Leaves closing the call to the next code that enters its context."""
+    self._transferred = True
     return self
 
   def __enter__(self) -> "Call":
     return self
 
   def __exit__(self, *_) -> None:
-    # Reached with the call unsettled when the caller left or a handler
-    # broke. With a place taken, the endpoint may have the request, so it
-    # is billed in full; without one it never ran.
-    if self.row is None:
-      self.settle(0, End.NOT_RUN)
+    # The call is still unsettled if the caller disconnected or the handler
+    # raised. If it holds a slot, the endpoint may have received the request,
+    # so the whole reservation is billed; otherwise it was never sent.
+    if self.endpoint is None:
+      self.settle(0, CallResult.NOT_RUN)
     else:
-      self.settle(None, End.MAY_HAVE_RUN)
+      self.settle(None, CallResult.MAY_HAVE_RUN)
     self.release()
 
-  async def take_place(
-      self, kind: str, model_name: str, avoid: frozenset[str]
+  async def acquire_slot(
+      self, kind: str, model_name: str, excluded: frozenset[str]
   ) -> scheduler.Shed | None:
-    """Takes a place at an endpoint; returns the refusal, or None."""
-    want = scheduler.Want(kind, model_name, self.entry.klass)
-    got = await self.router.scheduler.acquire(want, avoid)
-    if isinstance(got, scheduler.Shed):
-      return got
-    self._want, self.row = want, got
+    """Acquires a slot at an endpoint; returns the rejection, or None."""
+    slot_request = scheduler.Want(kind, model_name, self.entry.klass)
+    acquired = await self.router.scheduler.acquire(slot_request, excluded)
+    if isinstance(acquired, scheduler.Shed):
+      return acquired
+    self._slot_request, self.endpoint = slot_request, acquired
     self._sent = self.router.clock.monotonic()
     return None
 
-  def await_first_token(self) -> None:
-    """Notes that a stream's first token is due, for the limits."""
-    self.row.awaiting[id(self)] = self._sent
+  def expect_first_token(self) -> None:
+    """Registers a pending first token, for the concurrency limits."""
+    self.endpoint.awaiting[id(self)] = self._sent
 
   def release(self) -> None:
-    """Gives the place back, if one is held."""
-    if self.row is not None:
-      row, self.row = self.row, None
-      row.awaiting.pop(id(self), None)
-      self.router.scheduler.release(row, self._want)
+    """Releases the slot, if one is held."""
+    if self.endpoint is not None:
+      endpoint, self.endpoint = self.endpoint, None
+      endpoint.awaiting.pop(id(self), None)
+      self.router.scheduler.release(endpoint, self._slot_request)
 
-  def note_first_token(self, steer: bool = True) -> None:
-    """Notes the time to first token, for the metrics and the limits.
+  def record_first_token(self, update_limit: bool = True) -> None:
+    """Records the time to first token in metrics and concurrency limits.
 
     Args:
-      steer: whether the time says how busy the endpoint is; a whole
-        answer's time mostly says how long the answer was.
+      update_limit: whether the time adjusts the endpoint's concurrency
+        limit. Not so for a response that was not streamed: its time depends
+        mostly on its length, not on the endpoint's load.
     """
-    if self._answered:
+    if self._first_token_recorded:
       return
-    self._answered = True
+    self._first_token_recorded = True
     now = self.router.clock.monotonic()
     self.router.instruments.ttft.record(
-        now - self._started, attributes(self.entry)
+        now - self._started, metric_attributes(self.entry)
     )
-    if steer and self.row is not None:
-      self.row.awaiting.pop(id(self), None)
-      self.router.endpoints.steer(self.row, now - self._sent, now)
+    if update_limit and self.endpoint is not None:
+      self.endpoint.awaiting.pop(id(self), None)
+      self.router.endpoints.steer(self.endpoint, now - self._sent, now)
 
-  def settle(self, used: int | None, end: End) -> int:
-    """Bills `used` tokens (the whole reservation when None), once.
+  def settle(self, used: int | None, result: CallResult) -> int:
+    """Bills `used` tokens (None: the whole reservation), only once.
 
     Returns:
-      The tokens billed; 0 when the call was settled before.
+      The tokens billed; 0 if the call was settled before.
     """
     if self._settled:
       return 0
     self._settled = True
     tokens = self.reservation.tokens if used is None else used
     settled = self.router.pool.settle(self.reservation, tokens)
-    marks = attributes(self.entry)
+    labels = metric_attributes(self.entry)
     self.router.counts["billed_tokens"] += settled.billed
-    self.router.instruments.tokens.record(settled.billed, marks)
+    self.router.instruments.tokens.record(settled.billed, labels)
     if settled.overrun:
       self.router.counts["overrun_tokens"] += settled.overrun
-      self.router.instruments.overrun.add(settled.overrun, marks)
-    count(self.router, self.entry, end)
+      self.router.instruments.overrun.add(settled.overrun, labels)
+    count_result(self.router, self.entry, result)
     return settled.billed
 
   async def claim_key(
@@ -192,33 +195,38 @@
     """Claims the caller's Idempotency-Key for a call with `body`.
 
     Returns:
-      None when the call is this one's to send. Else the call is settled,
-      and the record of an earlier try or a refusal says why.
+      None if the key is claimed and the call may be sent. Otherwise the
+      call is settled, and the result is the record of an earlier request
+      with the key, or a rejection.
     """
     claim = self.router.new_claim()
-    print_ = idempotency.fingerprint(body)
+    body_fingerprint = idempotency.fingerprint(body)
     try:
-      earlier = await idempotency.claim(
-          self.router.writer, self.entry.name, idem_key, claim, print_
+      previous = await idempotency.claim(
+          self.router.writer, self.entry.name, idem_key, claim, body_fingerprint
       )
     except errors.KvUnavailableError:
-      self.settle(0, End.NOT_RUN)
+      self.settle(0, CallResult.NOT_RUN)
       retry_after_s = self.router.config.retry_after_s
-      return verdict.refuse("cannot record the call", retry_after_s, 503)
-    if earlier is None:
+      return verdict.refuse(
+          "the key-value service is unavailable: cannot record the call",
+          retry_after_s,
+          503,
+      )
+    if previous is None:
       self._idem_key, self._claim = idem_key, claim
       return None
-    self.settle(0, End.REPLAYED)
-    if earlier.get("fingerprint", print_) != print_:
+    self.settle(0, CallResult.REPLAYED)
+    if previous.get("fingerprint", body_fingerprint) != body_fingerprint:
       return verdict.refuse(
           "this Idempotency-Key was used for another request", None, 422
       )
-    return earlier
+    return previous
 
   async def record(
       self, state: idempotency.State, status: int = 0, body: object = None
   ) -> None:
-    """Records the outcome, if the call came with an Idempotency-Key."""
+    """Stores the outcome of a call that claimed an Idempotency-Key."""
     if self._claim:
       outcome = idempotency.Finish(self._claim, state, status, body)
       await idempotency.finish(
--- a/mustardfall/api/chat.py
+++ b/mustardfall/api/chat.py
@@ -1,8 +1,8 @@
 """`POST /v1/chat/completions`: the OpenAI-compatible chat API.
 
-A request is admitted against its budget, given a place at an engine and
-relayed, streamed or whole. Every failure is answered with a
-`verdict.Verdict`.
+A request is admitted against its budget, assigned a slot at an engine and
+forwarded; the response is streamed or sent in one piece. Every failure is
+reported as a `verdict.Verdict`.
 """
 
 import json
@@ -26,44 +26,44 @@
 
 logger = logging.getLogger(__name__)
 
-_ATTEMPTS = 3
-"""Endpoints tried for one request while the failures prove it not run."""
-_MESSAGE_OVERHEAD = 4
-"""Tokens a chat template may add per message, reserved on top."""
+_MAX_ATTEMPTS = 3
+"""Most engines tried for one request, as long as none may have run it."""
+_TEMPLATE_TOKENS_PER_MESSAGE = 4
+"""Tokens reserved per message for what the chat template may add."""
 _NOT_RUN_STATUSES = frozenset({429, 503})
-"""Answers by which an engine says that it did not take the request.
+"""Statuses by which an engine reports that it did not run the request.
 
-Any other 5xx may come after it began to generate, so the request may
-have run: it is neither tried elsewhere nor told "not run".
+Any other 5xx may come after generation began, so the request may have
+run: it is not retried, and not reported as "not run".
 """
 
 
-class _Ask(NamedTuple):
-  """A chat request as read from the caller."""
+class _ChatRequest(NamedTuple):
+  """A validated chat request."""
 
   body: dict[str, Any]
   tokens: int
-  """Most tokens it can use: its prompt's bound and `max_tokens`."""
+  """Upper bound of tokens used: `max_prompt_tokens` plus `max_tokens`."""
   stream: bool
-  want_usage: bool
+  include_usage: bool
   idem_key: str
 
 
 def max_prompt_tokens(body: dict[str, Any]) -> int:
-  """Returns an upper bound of the prompt's tokens: its UTF-8 bytes.
+  """Returns an upper bound of the prompt's tokens: its size in UTF-8.
 
-  No tokenizer yields more tokens than bytes, so a reservation built on
-  this bound cannot be overrun by the prompt. All that a template may
-  render counts: messages whole (names, parts, tool calls) and tools.
+  No tokenizer yields more tokens than bytes, so the prompt cannot exceed
+  a reservation of this size. Everything that a chat template may render is
+  counted: whole messages (names, parts, tool calls) and tools.
   """
   messages = body["messages"]
-  text = sum(len(_text(m)) for m in messages)
+  text = sum(len(_encode_content(m)) for m in messages)
   if "tools" in body:
-    text += len(_text(body["tools"]))
-  return text + _MESSAGE_OVERHEAD * len(messages)
+    text += len(_encode_content(body["tools"]))
+  return text + _TEMPLATE_TOKENS_PER_MESSAGE * len(messages)
 
 
-def _text(part: Any) -> bytes:
+def _encode_content(part: Any) -> bytes:
   if isinstance(part, dict) and set(part) == {"role", "content"}:
     part = part["content"]
   if not isinstance(part, str):
@@ -71,37 +71,39 @@
   return part.encode()
 
 
-def _read(
+def _parse(
     router: router_lib.Router,
     entry: table.Found,
     request: requests.Request,
     body: dict[str, Any] | None,
-) -> _Ask | verdict.Verdict:
-  """Reads the caller's request; a verdict when it is not proper."""
+) -> _ChatRequest | verdict.Verdict:
+  """Validates the request body; returns a verdict if it is invalid."""
   if body is None:
-    return replies.NOT_JSON
+    return replies.INVALID_JSON
   messages = body.get("messages")
   if not isinstance(messages, list) or not messages:
-    return verdict.refuse("messages: a list is required", None, 400)
-  most = body.get("max_completion_tokens") or body.get("max_tokens")
-  most = router.config.default_max_tokens if most is None else most
-  if not isinstance(most, int) or most < 1:
-    return verdict.refuse("max_tokens: not a positive number", None, 400)
+    return verdict.refuse("messages: must be a non-empty list", None, 400)
+  max_tokens = body.get("max_completion_tokens") or body.get("max_tokens")
+  max_tokens = (
+      router.config.default_max_tokens if max_tokens is None else max_tokens
+  )
+  if not isinstance(max_tokens, int) or max_tokens < 1:
+    return verdict.refuse("max_tokens: must be a positive integer", None, 400)
   choices = body.get("n") or 1
   if choices != 1:
-    return verdict.refuse("n: only one choice is served", None, 400)
+    return verdict.refuse("n: only 1 choice is supported", None, 400)
   options = body.get("stream_options") or {}
   upstream = {k: v for k, v in body.items() if k != "max_completion_tokens"}
-  upstream["max_tokens"] = most
+  upstream["max_tokens"] = max_tokens
   upstream["priority"] = model.PRIORITY[entry.klass]
   stream = bool(body.get("stream"))
   if stream:
     upstream["stream_options"] = {"include_usage": True}
-  return _Ask(
+  return _ChatRequest(
       body=upstream,
-      tokens=max_prompt_tokens(body) + most,
+      tokens=max_prompt_tokens(body) + max_tokens,
       stream=stream,
-      want_usage=bool(options.get("include_usage")),
+      include_usage=bool(options.get("include_usage")),
       idem_key=request.headers.get(replies.IDEMPOTENCY_HEADER, ""),
   )
 
@@ -109,140 +111,152 @@
 async def handle(
     router: router_lib.Router, request: requests.Request
 ) -> responses.Response:
-  """Answers one chat request."""
+  """Handles one chat request."""
   entry = replies.find_entry(router, request)
   if entry is None:
-    return replies.answer(replies.UNKNOWN_KEY)
-  ask = _read(router, entry, request, await replies.read_object(request))
-  if isinstance(ask, verdict.Verdict):
-    return replies.answer(ask)
-  call = await calls.admit(router, entry, ask.tokens)
+    return replies.to_response(replies.UNKNOWN_API_KEY)
+  chat_request = _parse(
+      router, entry, request, await replies.read_json_object(request)
+  )
+  if isinstance(chat_request, verdict.Verdict):
+    return replies.to_response(chat_request)
+  call = await calls.admit(router, entry, chat_request.tokens)
   if isinstance(call, verdict.Verdict):
-    return replies.answer(call)
-  with call.unless_handed_over():
-    opened = await _claim_and_open(call, ask)
+    return replies.to_response(call)
+  with call.close_unless_transferred():
+    opened = await _claim_and_dispatch(call, chat_request)
     if isinstance(opened, responses.Response):
       return opened
-    if not ask.stream:
-      return await _relay_whole(call, opened, ask)
-    return _StreamAnswer(call.hand_over(), opened, ask)
+    if not chat_request.stream:
+      return await _relay_complete(call, opened, chat_request)
+    return _StreamAnswer(call.transfer(), opened, chat_request)
 
 
-async def _claim_and_open(
-    call: calls.Call, ask: _Ask
+async def _claim_and_dispatch(
+    call: calls.Call, chat_request: _ChatRequest
 ) -> httpx.Response | responses.Response:
-  """Claims the caller's Idempotency-Key, if any, and opens the call.
+  """Claims the caller's Idempotency-Key, if any, and calls an engine.
 
   Returns:
-    The engine's open answer, or the final answer to the caller.
+    The engine's open response, or the final response to the caller.
   """
-  if ask.idem_key:
-    earlier = await call.claim_key(ask.idem_key, ask.body)
-    if isinstance(earlier, verdict.Verdict):
-      return replies.answer(earlier)
-    if earlier is not None:
-      return replies.answer(_verdict_of(earlier))
-  opened = await _open(call, ask)
+  if chat_request.idem_key:
+    previous = await call.claim_key(chat_request.idem_key, chat_request.body)
+    if isinstance(previous, verdict.Verdict):
+      return replies.to_response(previous)
+    if previous is not None:
+      return replies.to_response(_to_verdict(previous))
+  opened = await _dispatch(call, chat_request)
   if isinstance(opened, httpx.Response):
     return opened
   if opened.outcome is verdict.Outcome.NOT_RUN:
     await call.record(idempotency.State.NOT_RUN)
-  return replies.answer(opened)
+  return replies.to_response(opened)
 
 
-def _verdict_of(record: idempotency.Record) -> verdict.Verdict:
+def _to_verdict(record: idempotency.Record) -> verdict.Verdict:
   if record["state"] == idempotency.State.RAN:
-    return verdict.ran("this call ran before; its answer is not kept")
-  return verdict.unknown("an earlier try may have run", 409)
+    return verdict.ran(
+        "a request with this Idempotency-Key ran before; its answer is not kept"
+    )
+  return verdict.unknown(
+      "an earlier request with this Idempotency-Key may have run", 409
+  )
 
 
-async def _open(
-    call: calls.Call, ask: _Ask
+async def _dispatch(
+    call: calls.Call, chat_request: _ChatRequest
 ) -> httpx.Response | verdict.Verdict:
-  """Opens the call at an engine, trying others while it is not run."""
+  """Sends the request, and retries at other engines while it has not run."""
   router = call.router
-  avoid: set[str] = set()
-  for attempt in range(_ATTEMPTS):
+  excluded: set[str] = set()
+  for attempt in range(_MAX_ATTEMPTS):
     if attempt and not router.retries.withdraw():
       break
-    shed = await call.take_place("engine", call.entry.model, frozenset(avoid))
+    shed = await call.acquire_slot(
+        "engine", call.entry.model, frozenset(excluded)
+    )
     if shed is not None:
       if attempt:
         break
-      call.settle(0, calls.End.SHED)
+      call.settle(0, calls.CallResult.SHED)
       return verdict.refuse(shed.reason, shed.retry_after_s, 503)
-    avoid.add(call.row.name)
-    reply = await _send(call, ask)
+    excluded.add(call.endpoint.name)
+    reply = await _send(call, chat_request)
     if reply is not None:
       return reply
     call.release()
-  call.settle(0, calls.End.NOT_RUN)
+  call.settle(0, calls.CallResult.NOT_RUN)
   return verdict.refuse(
-      "no engine can take this request now", router.config.retry_after_s, 503
+      "no engine accepted this request", router.config.retry_after_s, 503
   )
 
 
 async def _send(
-    call: calls.Call, ask: _Ask
+    call: calls.Call, chat_request: _ChatRequest
 ) -> httpx.Response | verdict.Verdict | None:
-  """Sends the request to the engine whose place is held.
+  """Sends the request to the engine at which the call holds a slot.
 
   Returns:
-    The open answer; a final verdict; or None when it did not run there
-    and may be tried elsewhere.
+    The open response; a final verdict; or None if the engine did not run
+    the request, so that another may be tried.
   """
-  row, http = call.row, call.router.http
-  if ask.stream:
-    call.await_first_token()
+  endpoint, http = call.endpoint, call.router.http
+  if chat_request.stream:
+    call.expect_first_token()
   request = http.build_request(
       "POST",
-      row.url + "/v1/chat/completions",
-      json=ask.body,
+      endpoint.url + "/v1/chat/completions",
+      json=chat_request.body,
       headers={"accept-encoding": "identity"},
   )
   try:
     reply = await http.send(request, stream=True)
   except (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout):
-    row.failures += 2
-    return None  # no byte of it reached the engine
+    endpoint.failures += 2
+    return None  # not connected: nothing was sent
   except httpx.HTTPError as exc:
-    row.failures += 2
-    call.settle(None, calls.End.MAY_HAVE_RUN)
-    return verdict.unknown(f"engine {row.name}: {exc!r}")
+    endpoint.failures += 2
+    call.settle(None, calls.CallResult.MAY_HAVE_RUN)
+    return verdict.unknown(f"call to engine {endpoint.name} failed: {exc!r}")
   if reply.is_success:
     return reply
   await reply.aclose()
   if reply.status_code in _NOT_RUN_STATUSES:
-    row.failures += 1
+    endpoint.failures += 1
     return None
   if reply.is_client_error:
-    call.settle(0, calls.End.NOT_RUN)
+    call.settle(0, calls.CallResult.NOT_RUN)
     return verdict.refuse(
-        f"the engine refused it: {reply.status_code}", None, reply.status_code
+        f"engine {endpoint.name} rejected the request: {reply.status_code}",
+        None,
+        reply.status_code,
     )
-  row.failures += 2
-  call.settle(None, calls.End.MAY_HAVE_RUN)
-  return verdict.unknown(f"engine {row.name} failed: {reply.status_code}")
+  endpoint.failures += 2
+  call.settle(None, calls.CallResult.MAY_HAVE_RUN)
+  return verdict.unknown(
+      f"engine {endpoint.name} failed with status {reply.status_code}"
+  )
 
 
-async def _relay_whole(
-    call: calls.Call, reply: httpx.Response, ask: _Ask
+async def _relay_complete(
+    call: calls.Call, reply: httpx.Response, chat_request: _ChatRequest
 ) -> responses.Response:
-  row = call.row
+  endpoint = call.endpoint
   try:
     data = json.loads(await reply.aread())
     used = int(data["usage"]["total_tokens"])
   except (httpx.HTTPError, ValueError, KeyError, TypeError) as exc:
-    row.failures += 2
-    call.settle(None, calls.End.MAY_HAVE_RUN)
-    return replies.answer(
-        verdict.unknown(f"engine {row.name} broke off: {exc!r}")
+    endpoint.failures += 2
+    call.settle(None, calls.CallResult.MAY_HAVE_RUN)
+    return replies.to_response(
+        verdict.unknown(f"invalid response of engine {endpoint.name}: {exc!r}")
     )
   finally:
     with anyio.CancelScope(shield=True):
       await reply.aclose()
-  call.note_first_token(steer=False)
-  billed = call.settle(used, calls.End.COMPLETED)
+  call.record_first_token(update_limit=False)
+  billed = call.settle(used, calls.CallResult.COMPLETED)
   await call.record(idempotency.State.RAN)
   return responses.JSONResponse(
       data, headers={replies.BILLED_HEADER: str(billed)}
@@ -250,24 +264,24 @@
 
 
 class _StreamAnswer(responses.StreamingResponse):
-  """Streams an engine's answer and ends the call with it.
+  """Streams an engine's response and closes the call afterwards.
 
-  The call ends in `__call__`, not in the generator: when the caller has
-  left before the first event, the generator is never started, and its
-  `finally` would never run. The reservation would then stay in flight
-  and hold its allotment for ever.
+  The call is closed in `__call__`, not in the generator: if the caller
+  disconnects before the first event, the generator is never started and
+  its `finally` never runs. The reservation would then stay open and hold
+  its allotment for ever.
   """
 
   def __init__(
-      self, call: calls.Call, reply: httpx.Response, ask: _Ask
+      self, call: calls.Call, reply: httpx.Response, chat_request: _ChatRequest
   ) -> None:
     super().__init__(self._events(), media_type="text/event-stream")
     self._call = call
     self._reply = reply
-    self._stream = relay.Stream(reply, ask.want_usage)
+    self._stream = relay.Stream(reply, chat_request.include_usage)
 
   async def __call__(self, scope, receive, send) -> None:
-    """Sends the answer (ASGI)."""
+    """Sends the response (ASGI)."""
     with self._call:
       try:
         await super().__call__(scope, receive, send)
@@ -276,19 +290,21 @@
           await self._reply.aclose()
 
   async def _events(self):
-    call, stream, row = self._call, self._stream, self._call.row
+    call, stream, endpoint = self._call, self._stream, self._call.endpoint
     try:
       async for block in stream.relay():
-        call.note_first_token()
+        call.record_first_token()
         yield block
     except (httpx.HTTPError, errors.MismatchedResponseError, ValueError) as exc:
-      logger.debug("engine stream broke: %r", exc)
+      logger.debug("relay of an engine's event stream failed: %r", exc)
     if stream.done and stream.usage is not None:
-      call.settle(stream.usage, calls.End.COMPLETED)
+      call.settle(stream.usage, calls.CallResult.COMPLETED)
       await call.record(idempotency.State.RAN)
-      yield relay.END
+      yield relay.DONE_EVENT
       return
-    row.failures += 2
-    call.settle(None, calls.End.MAY_HAVE_RUN)
-    broken = verdict.unknown(f"engine {row.name} broke off the stream")
+    endpoint.failures += 2
+    call.settle(None, calls.CallResult.MAY_HAVE_RUN)
+    broken = verdict.unknown(
+        f"engine {endpoint.name} did not complete the stream"
+    )
     yield f"data: {json.dumps(verdict.to_body(broken))}\n\n".encode()
--- a/mustardfall/api/peer.py
+++ b/mustardfall/api/peer.py
@@ -1,6 +1,6 @@
-"""The routers' and operators' API, on a port that callers do not reach.
+"""API for other routers and operators, on a port not open to callers.
 
-The counters and metrics are here because they name every tenant.
+Counters and metrics are served here because they name every customer.
 """
 
 from starlette import applications
@@ -13,7 +13,7 @@
 
 
 def create_app(router: router_lib.Router) -> applications.Starlette:
-  """Returns the ASGI application that other routers call."""
+  """Returns the ASGI application for other routers and operators."""
 
   async def _reserve(request: requests.Request) -> responses.Response:
     ask = peers.Ask(**await request.json())
--- a/mustardfall/api/public.py
+++ b/mustardfall/api/public.py
@@ -1,4 +1,4 @@
-"""The callers' API of a router."""
+"""API of a router for its callers."""
 
 from starlette import applications
 from starlette import requests
@@ -11,7 +11,7 @@
 
 
 def create_app(router: router_lib.Router) -> applications.Starlette:
-  """Returns the ASGI application that callers reach."""
+  """Returns the ASGI application for callers."""
 
   async def _chat(request: requests.Request) -> responses.Response:
     return await chat.handle(router, request)
--- a/mustardfall/api/relay.py
+++ b/mustardfall/api/relay.py
@@ -1,8 +1,8 @@
 """Relays an engine's server-sent events to the caller.
 
-Bytes are passed on as they come, in whole events; only blocks that carry
-the usage or the end are parsed. Parsing every token's event cost most
-of a router's processor time.
+Complete events are forwarded as received; only blocks that contain the
+usage or the final `[DONE]` are parsed. Parsing the event of every token
+took most of a router's CPU time.
 """
 
 from collections.abc import AsyncIterator
@@ -13,93 +13,95 @@
 
 from mustardfall import errors
 
-_USAGE = re.compile(rb'"usage"\s*:\s*\{')
-"""A usage object; in generated text the quotes would be escaped."""
-_DONE = re.compile(rb"^data: ?\[DONE\]", re.MULTILINE)
-_ID = re.compile(rb'"id"\s*:\s*("[^"\\]+")')
-_EVENT = b"data: {"
-END = b"data: [DONE]\n\n"
-"""The event that ends a whole stream."""
+_USAGE_PATTERN = re.compile(rb'"usage"\s*:\s*\{')
+"""Matches a usage object; quotes in generated text would be escaped."""
+_DONE_PATTERN = re.compile(rb"^data: ?\[DONE\]", re.MULTILINE)
+_ID_PATTERN = re.compile(rb'"id"\s*:\s*("[^"\\]+")')
+_EVENT_PREFIX = b"data: {"
+DONE_EVENT = b"data: [DONE]\n\n"
+"""The event that ends a complete stream."""
 
 
 class Stream:
-  """One engine stream on its way to a caller.
+  """Relays the event stream of one engine response.
 
   Args:
-    reply: the engine's open answer.
-    keep_usage: whether the caller asked for the usage event.
+    reply: the engine's open response.
+    forward_usage: whether the caller asked for the usage event.
   """
 
-  def __init__(self, reply: httpx.Response, keep_usage: bool) -> None:
+  def __init__(self, reply: httpx.Response, forward_usage: bool) -> None:
     self._reply = reply
-    self._keep_usage = keep_usage
+    self._forward_usage = forward_usage
     self._id: bytes | None = None
     self.usage: int | None = None
-    """Tokens in all, once the engine has told."""
+    """Total tokens, once the engine has reported them."""
     self.done = False
-    """Whether the engine ended the stream itself."""
+    """Whether the engine sent `[DONE]`."""
 
   async def relay(self) -> AsyncIterator[bytes]:
-    """Yields blocks of whole events, without the final `[DONE]`.
+    """Yields blocks of complete events, without the final `[DONE]`.
 
-    A stream that the engine broke off just ends here with `done` unset:
-    the caller of this must then say so to its own caller, who would
-    otherwise take a part for the whole.
+    If the engine closes the connection early, iteration ends with `done`
+    unset; the handler must then send an error event, or the caller would
+    take the partial response for a complete one.
 
     Raises:
-      errors.MismatchedResponseError: an event of another answer came.
-      httpx.HTTPError: the connection broke.
+      errors.MismatchedResponseError: an event has another response's id.
+      httpx.HTTPError: the connection failed.
     """
-    rest = b""
+    incomplete = b""
     async for data in self._reply.aiter_raw():
-      block, rest = _split(rest + data)
+      block, incomplete = _split(incomplete + data)
       if not block:
         continue
       self._check_id(block)
-      if _USAGE.search(block) or _DONE.search(block):
-        block = self._take_notes(block)
+      if _USAGE_PATTERN.search(block) or _DONE_PATTERN.search(block):
+        block = self._extract_usage(block)
       if block:
         yield block
       if self.done:
         return
 
   def _check_id(self, block: bytes) -> None:
-    """Refuses events that bear another answer's id.
+    """Raises an error if an event has the id of another response.
 
-    An engine that mixes up two answers would hand one caller another's
-    text; every event of one answer has the id of its first.
+    All events of a response have the id of its first event. An engine that
+    mixes up two responses would send one caller's text to another.
     """
     if self._id is None:
-      found = _ID.search(block)
+      found = _ID_PATTERN.search(block)
       if found is None:
         return
       self._id = found.group(1)
-    if block.count(_EVENT) > block.count(self._id):
-      raise errors.MismatchedResponseError("event with another answer's id")
-
-  def _take_notes(self, block: bytes) -> bytes:
-    """Notes usage and end; returns the events to pass on."""
-    kept = []
+    if block.count(_EVENT_PREFIX) > block.count(self._id):
+      raise errors.MismatchedResponseError(
+          f"event without the id {self._id!r} of its response"
+      )
+
+  def _extract_usage(self, block: bytes) -> bytes:
+    """Reads the usage and `[DONE]`; returns the events to forward."""
+    forwarded = []
     for event in block.replace(b"\r\n", b"\n").split(b"\n\n"):
-      if _DONE.search(event):
+      if _DONE_PATTERN.search(event):
         self.done = True
         break
       if not event:
         continue
-      if _USAGE.search(event) and event.startswith(_EVENT):
+      if _USAGE_PATTERN.search(event) and event.startswith(_EVENT_PREFIX):
         chunk = json.loads(event[len("data: ") :])
         self.usage = int(chunk["usage"]["total_tokens"])
-        if not chunk.get("choices") and not self._keep_usage:
+        if not chunk.get("choices") and not self._forward_usage:
           continue
-      kept.append(event + b"\n\n")
-    return b"".join(kept)
+      forwarded.append(event + b"\n\n")
+    return b"".join(forwarded)
 
 
 def _split(data: bytes) -> tuple[bytes, bytes]:
-  """Splits off what follows the last whole event."""
-  cut = 0
-  for gap in (b"\n\n", b"\r\n\r\n"):
-    at = data.rfind(gap)
-    if at >= 0:
-      cut = max(cut, at + len(gap))
-  return data[:cut], data[cut:]
+  """Splits `data` after its last complete event."""
+  end = 0
+  for separator in (b"\n\n", b"\r\n\r\n"):
+    position = data.rfind(separator)
+    if position >= 0:
+      end = max(end, position + len(separator))
+  return data[:end], data[end:]
--- a/mustardfall/api/replies.py
+++ b/mustardfall/api/replies.py
@@ -1,4 +1,4 @@
-"""What the handlers share: whose call it is, and verdicts as answers."""
+"""Helpers of the handlers: authentication, JSON bodies, error responses."""
 
 import json
 from typing import Any
@@ -11,16 +11,16 @@
 from mustardfall.catalogue import table
 
 BILLED_HEADER = "x-mustardfall-billed"
-"""Tokens billed for a whole answer."""
+"""Response header: tokens billed for a response that is not streamed."""
 REPLAYED_HEADER = "x-mustardfall-replayed"
-"""Set on an answer kept from an earlier try."""
+"""Response header: set on the stored response of an earlier request."""
 IDEMPOTENCY_HEADER = "idempotency-key"
-UNKNOWN_KEY = verdict.refuse("unknown API key", None, 401)
-NOT_JSON = verdict.refuse("the body is not a JSON object", None, 400)
+UNKNOWN_API_KEY = verdict.refuse("unknown API key", None, 401)
+INVALID_JSON = verdict.refuse("the body is not a JSON object", None, 400)
 
 
-def answer(v: verdict.Verdict) -> responses.JSONResponse:
-  """Returns the HTTP answer for a verdict."""
+def to_response(v: verdict.Verdict) -> responses.JSONResponse:
+  """Returns the HTTP error response for a verdict."""
   return responses.JSONResponse(
       verdict.to_body(v), status_code=v.status, headers=verdict.to_headers(v)
   )
@@ -29,20 +29,20 @@
 def find_entry(
     router: router_lib.Router, request: requests.Request
 ) -> table.Found | None:
-  """Returns the catalogue entry of the caller's API key, or None."""
+  """Returns the catalogue entry of the caller's API key; None if unknown."""
   auth = request.headers.get("authorization", "")
   return router.catalogue.current.find(auth.removeprefix("Bearer ").strip())
 
 
-async def read_object(request: requests.Request) -> dict[str, Any] | None:
-  """Returns the body's JSON object, or None when it is none."""
+async def read_json_object(request: requests.Request) -> dict[str, Any] | None:
+  """Returns the JSON object in the body; None if it is not one."""
   try:
-    body = json.loads(await request.body(), parse_constant=_refuse_constant)
+    body = json.loads(await request.body(), parse_constant=_reject_constant)
   except ValueError:
     return None
   return body if isinstance(body, dict) else None
 
 
-def _refuse_constant(name: str) -> None:
-  """Refuses NaN and infinities: they are not JSON, and cannot be sent on."""
-  raise ValueError(f"{name} is not JSON")
+def _reject_constant(name: str) -> None:
+  """Rejects NaN and infinities, which are not JSON and cannot be forwarded."""
+  raise ValueError(f"{name} is not a JSON value")
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""The event relay: whole events, usage and end noted, nothing crossed."""
+"""Tests of the event relay: framing, usage, end of stream, response ids."""
 
 import itertools
 import json
@@ -25,7 +25,7 @@
 
 
 class _Reply:
-  """Stands for an engine's answer, cut into pieces anywhere."""
+  """An engine's response, split into chunks at `cuts`."""
 
   def __init__(self, raw: bytes, cuts: list[int]) -> None:
     marks = sorted({0, len(raw), *(c for c in cuts if c < len(raw))})
@@ -36,9 +36,9 @@
       yield piece
 
 
-def _relay(raw: bytes, cuts: list[int], keep_usage: bool = False):
+def _relay(raw: bytes, cuts: list[int], forward_usage: bool = False):
   async def go():
-    stream = relay.Stream(_Reply(raw, cuts), keep_usage)
+    stream = relay.Stream(_Reply(raw, cuts), forward_usage)
     return stream, b"".join([b async for b in stream.relay()])
 
   return anyio.run(go)
@@ -57,7 +57,7 @@
     self.assertEqual((7, True), (stream.usage, stream.done))
 
   def test_usage_is_passed_on_to_those_who_asked(self):
-    _, got = _relay(_text("x") + _USAGE + _DONE, [], keep_usage=True)
+    _, got = _relay(_text("x") + _USAGE + _DONE, [], forward_usage=True)
     self.assertEqual(_text("x") + _USAGE, got)
 
   def test_carriage_returns_end_events_too(self):
@@ -66,15 +66,15 @@
     self.assertEqual((7, True), (stream.usage, stream.done))
 
   def test_answer_cut_short_is_not_taken_for_whole(self):
-    # The engine's connection ends in mid-answer, even in mid-event: no
-    # `done`, so the caller is told; the torn event is not passed on.
+    # The engine closes the connection within an event: `done` stays unset,
+    # so that the caller gets an error; the partial event is not forwarded.
     stream, got = _relay(_text("x") + _text("y")[:20], [])
     self.assertEqual(_text("x"), got)
     self.assertFalse(stream.done)
 
   def test_text_that_looks_like_usage_or_end_is_only_text(self):
-    # A caller asks a model about this very protocol; the words of the
-    # answer must not end it or set its bill.
+    # Generated text that quotes this protocol must neither end the stream
+    # nor set the usage that is billed.
     word = '"usage": {"total_tokens": 1} data: [DONE]\n\ndata: [DONE]'
     stream, got = _relay(_text(word) + _USAGE + _DONE, [])
     self.assertEqual(_text(word), got)
