--- a/mustardfall/api/bookings.py
+++ b/mustardfall/api/bookings.py
@@ -32,7 +32,7 @@
   idem_key = request.headers.get(replies.IDEMPOTENCY_HEADER, "")
   if not idem_key:
     return replies.to_response(
-        verdict.refuse("bookings need an Idempotency-Key", None, 400)
+        verdict.not_run("bookings need an Idempotency-Key", None, 400)
     )
   body = await replies.read_json_object(request)
   if body is None:
@@ -77,7 +77,7 @@
         headers={replies.REPLAYED_HEADER: "1"},
     )
   return replies.to_response(
-      verdict.unknown(
+      verdict.may_have_run(
           "an earlier request with this Idempotency-Key may have run", 409
       )
   )
@@ -94,7 +94,7 @@
       break
     shed = await call.acquire_slot("service", "", frozenset(excluded))
     if shed is not None:
-      return verdict.refuse(shed.reason, shed.retry_after_s, 503)
+      return verdict.not_run(shed.reason, shed.retry_after_s, 503)
     endpoint = call.endpoint
     excluded.add(endpoint.name)
     try:
@@ -110,22 +110,24 @@
       call.release()
       continue
     except (httpx.HTTPError, ValueError) as exc:
-      return verdict.unknown(f"call to service {endpoint.name} failed: {exc!r}")
+      return verdict.may_have_run(
+          f"call to service {endpoint.name} failed: {exc!r}"
+      )
     if reply.is_success:
       return reply
     if reply.is_client_error and reply.status_code != 429:
-      return verdict.refuse(
+      return verdict.not_run(
           f"service {endpoint.name} rejected the call: {reply.status_code}",
           None,
           reply.status_code,
       )
     if reply.status_code not in _NOT_RUN_STATUSES:
       # The service may have failed after it made the booking.
-      return verdict.unknown(
+      return verdict.may_have_run(
           f"service {endpoint.name} failed with status {reply.status_code}"
       )
     endpoint.failures += 1
     call.release()
-  return verdict.refuse(
+  return verdict.not_run(
       "no service accepted this call", router.config.retry_after_s, 503
   )
--- a/mustardfall/api/calls.py
+++ b/mustardfall/api/calls.py
@@ -60,12 +60,12 @@
     # whole budget gets a final 402 instead of being retried for ever.
     known = await router.accounts.look_up(entry.name)
     if known is not None and tokens > known.limit:
-      return verdict.refuse(
+      return verdict.not_run(
           f"request needs {tokens} tokens, the budget's limit is {known.limit}",
           None,
           402,
       )
-    return verdict.refuse(
+    return verdict.not_run(
         "budget cannot cover this request now", router.config.retry_after_s
     )
   return Call(router, entry, reservation)
@@ -199,7 +199,7 @@
       call is settled, and the result is the record of an earlier request
       with the key, or a rejection.
     """
-    claim = self.router.new_claim()
+    claim = self.router.new_claim_id()
     body_fingerprint = idempotency.fingerprint(body)
     try:
       previous = await idempotency.claim(
@@ -208,7 +208,7 @@
     except errors.KvUnavailableError:
       self.settle(0, CallResult.NOT_RUN)
       retry_after_s = self.router.config.retry_after_s
-      return verdict.refuse(
+      return verdict.not_run(
           "the key-value service is unavailable: cannot record the call",
           retry_after_s,
           503,
@@ -218,7 +218,7 @@
       return None
     self.settle(0, CallResult.REPLAYED)
     if previous.get("fingerprint", body_fingerprint) != body_fingerprint:
-      return verdict.refuse(
+      return verdict.not_run(
           "this Idempotency-Key was used for another request", None, 422
       )
     return previous
--- a/mustardfall/api/replies.py
+++ b/mustardfall/api/replies.py
@@ -15,14 +15,16 @@
 REPLAYED_HEADER = "x-mustardfall-replayed"
 """Response header: set on the stored response of an earlier request."""
 IDEMPOTENCY_HEADER = "idempotency-key"
-UNKNOWN_API_KEY = verdict.refuse("unknown API key", None, 401)
-INVALID_JSON = verdict.refuse("the body is not a JSON object", None, 400)
+UNKNOWN_API_KEY = verdict.not_run("unknown API key", None, 401)
+INVALID_JSON = verdict.not_run("the body is not a JSON object", None, 400)
 
 
-def to_response(v: verdict.Verdict) -> responses.JSONResponse:
+def to_response(error: verdict.Verdict) -> responses.JSONResponse:
   """Returns the HTTP error response for a verdict."""
   return responses.JSONResponse(
-      verdict.to_body(v), status_code=v.status, headers=verdict.to_headers(v)
+      verdict.to_body(error),
+      status_code=error.status,
+      headers=verdict.to_headers(error),
   )
 
 
--- a/mustardfall/errors.py
+++ b/mustardfall/errors.py
@@ -1,40 +1,40 @@
-"""Internal exceptions; callers never see these, only verdicts."""
+"""Internal exceptions; callers get a verdict instead."""
 
 
 class Error(Exception):
-  """Base of mustardfall's own exceptions."""
+  """Base class of mustardfall's exceptions."""
 
 
 class SettingsError(Error):
-  """A settings file is missing, unreadable or has a bad key."""
+  """A settings file is missing, unreadable or has an invalid key."""
 
 
 class KvUnavailableError(Error):
-  """The key-value service did not answer; the write did not happen."""
+  """The key-value service is unavailable; a write was not applied."""
 
 
 class KvConflictError(KvUnavailableError):
-  """Others wrote the same keys first each time; the KV itself answers."""
+  """Each attempt to write lost to a concurrent write; the KV is up."""
 
 
 class KvUnknownError(Error):
-  """A write was sent but no reply came: it may have taken effect."""
+  """A write was sent but got no response: it may have been applied."""
 
 
 class PeerUnavailableError(Error):
-  """Another router gave no usable answer; the call may have taken effect."""
+  """No valid response of another router; the call may have been applied."""
 
 
 class CatalogueConflictError(Error):
-  """Another operator changed the catalogue first; nothing was written."""
+  """The catalogue was changed concurrently; nothing was written."""
 
 
 class MismatchedResponseError(Error):
-  """An engine sent an event of another answer; the stream must end."""
+  """An engine sent an event of another response; the stream must end."""
 
 
 class BadRequestError(Error):
-  """A caller's request is malformed; `status` is what it is told."""
+  """A caller's request is rejected with the HTTP status `status`."""
 
   def __init__(
       self,
@@ -48,19 +48,19 @@
 
 
 class OverloadedError(BadRequestError):
-  """There is no room for a request that has not been read whole."""
+  """Too little memory for a request that is not yet read completely."""
 
   def __init__(self, reason: str, retry_after_s: float) -> None:
     super().__init__(reason, 503, retry_after_s)
 
 
 class EndpointUnreachableError(Error):
-  """No connection to an endpoint could be made: the request was not sent."""
+  """Connecting to an endpoint failed: the request was not sent."""
 
 
 class BadResponseError(Error):
-  """An endpoint's answer ended early or is not one: it may have run."""
+  """An endpoint's response is incomplete or invalid; it may have run."""
 
 
 class ResponseTimeoutError(BadResponseError):
-  """An endpoint gave no answer for too long; nothing says that it ended."""
+  """An endpoint sent nothing within the timeout; it may still be running."""
--- a/mustardfall/router.py
+++ b/mustardfall/router.py
@@ -1,10 +1,9 @@
-"""The entry-host application object: it owns the tables and runs them.
+"""The application object of a router (entry host).
 
-`Router` is built from the settings object and wires the KV client and
-its batch writer, the catalogue follower, the membership, the pool of
-allotments, the endpoint table and the scheduler. Parts tell each other
-of changes through the event bus; the HTTP fronts (`api`) call only what
-hangs off the `Router`.
+`Router` creates and connects the components: the KV client and its batch
+writer, the catalogue follower, the membership, the pool of allotments, the
+endpoint table and the scheduler. Components publish changes on the event
+bus; the HTTP APIs (`api`) reach them only through attributes of `Router`.
 """
 
 import collections
@@ -36,17 +35,17 @@
 _HTTP_LIMITS = httpx.Limits(
     max_connections=4_000, max_keepalive_connections=400
 )
-_RECORD_LEASES = 8
-"""Leases opened over the time that a call's record is kept."""
-_FLUSH_S = 5.0
-"""How long a stopping router tries to write what is left."""
+_LEASES_PER_RETENTION = 8
+"""Leases granted per `records.keep_s`; a record is kept up to 1/8 longer."""
+_FLUSH_TIMEOUT_S = 5.0
+"""Longest time in which a stopping router flushes its pending writes."""
 
 
 class Router:
   """One router: admits, bills and routes requests.
 
   Args:
-    config: the router's settings, whole.
+    config: the router's settings.
     clock: the time source.
   """
 
@@ -72,8 +71,8 @@
         self.kv,
         self.bus,
         self._post,
-        self._policy_of,
-        get_lease=self._lease_of,
+        self._get_policy,
+        get_lease=self._get_lease,
     )
     self.writer = self.accounts.writer
     self.members = self.accounts.members
@@ -101,20 +100,20 @@
   def _count(self, name: str) -> None:
     self.counts[name] += 1
 
-  def _policy_of(self, customer: str) -> policy.Policy:
+  def _get_policy(self, customer: str) -> policy.Policy:
     return self.catalogue.current.policy_of(customer)
 
-  def _lease_of(self, key: str) -> int:
-    """Records of calls lapse by a lease; budgets stay for ever."""
+  def _get_lease(self, key: str) -> int:
+    """Returns the lease of call records, which expire; budgets have none."""
     return self._record_lease if key.startswith(idempotency.PREFIX) else 0
 
-  def new_claim(self) -> str:
-    """Returns an id for one try of a call with an Idempotency-Key."""
+  def new_claim_id(self) -> str:
+    """Returns a new id for a claim on an Idempotency-Key."""
     return f"{self.members.me.life}:{secrets.token_hex(6)}"
 
   @property
   def ready(self) -> bool:
-    """Whether the balancer should send callers here."""
+    """Whether the load balancer should send requests to this router."""
     return self.catalogue.current.revision > 0 and not self.stopping
 
   def stats(self) -> dict[str, object]:
@@ -135,11 +134,11 @@
         "limits": {r.name: r.limit for r in self.endpoints.rows.values()},
     }
 
-  async def _watch_hosts(self) -> None:
+  async def _poll_hosts(self) -> None:
     """Polls the host list each tick.
 
-    A loop of its own: behind the budget's writes, a slow KV would hold
-    the poll up, and a leaving endpoint would go on getting work.
+    This loop is separate from the budget's writes: a slow KV would delay
+    the poll, and a leaving endpoint would still get new requests.
     """
     while True:
       try:
@@ -150,8 +149,8 @@
         self.counts["hosts_failures"] += 1
       await anyio.sleep(self.config.tick_s)
 
-  async def _run_systems(self) -> None:
-    """Runs the systems over the tables each tick."""
+  async def _run_ticks(self) -> None:
+    """Updates the pool, the endpoint table and the scheduler each tick."""
     last = self.clock.monotonic()
     while True:
       await anyio.sleep(self.config.tick_s)
@@ -170,28 +169,28 @@
       raise errors.PeerUnavailableError(repr(exc)) from exc
 
   async def _renew_record_lease(self) -> None:
-    """Opens a new lease for call records now and then, never renewed."""
+    """Grants a new lease for call records periodically, never renewed."""
     keep_s = self.config.records.keep_s
     while True:
       try:
         self._record_lease = await self.kv.grant_lease(
-            keep_s + keep_s // _RECORD_LEASES
+            keep_s + keep_s // _LEASES_PER_RETENTION
         )
       except (errors.KvUnavailableError, errors.KvUnknownError):
         await anyio.sleep(1.0)
         continue
-      await anyio.sleep(keep_s / _RECORD_LEASES)
+      await anyio.sleep(keep_s / _LEASES_PER_RETENTION)
 
   async def run(self) -> None:
-    """Runs the router's loops until cancelled."""
+    """Runs the router's background loops until cancelled."""
     async with anyio.create_task_group() as tg:
       for loop in (
           *self.accounts.loops(),
           self.accounts.members.follow,
           self.catalogue.follow,
           self._renew_record_lease,
-          self._watch_hosts,
-          self._run_systems,
+          self._poll_hosts,
+          self._run_ticks,
           self.orders.run,
       ):
         tg.start_soon(self._supervise, loop)
@@ -202,22 +201,22 @@
     )
 
   def begin_stop(self) -> None:
-    """Takes the router out of the balancer; it still serves."""
+    """Makes the router report not ready; it still serves requests."""
     self.stopping = True
 
   async def hand_back(self) -> None:
-    """Hands every allotment back; called after the drain."""
+    """Returns all allotments; called after open requests have drained."""
     await self.accounts.hand_back()
 
   async def finish(self) -> None:
-    """Writes what is left, once other routers cannot call any more."""
-    await self.writer.flush(_FLUSH_S)
+    """Flushes pending writes, once other routers can no longer call."""
+    await self.writer.flush(_FLUSH_TIMEOUT_S)
     logger.info(
         "stopped",
         extra={"unwritten": self.writer.backlog, **dict(self.counts)},
     )
 
   async def close(self) -> None:
-    """Closes the connections; nothing of the router runs any more."""
+    """Closes all connections; called when no loop is running."""
     await self.http.aclose()
     await self.kv.close()
--- a/mustardfall/verdict.py
+++ b/mustardfall/verdict.py
@@ -1,7 +1,7 @@
-"""What a caller is told when a request did not simply succeed.
+"""Error responses that state whether a failed request may have run.
 
-Every failure a caller sees carries one of three outcomes, so that it
-knows whether a retry could make the work happen twice.
+Every error carries one of three outcomes, from which the caller knows
+whether a retry could run the request twice.
 """
 
 import enum
@@ -9,18 +9,18 @@
 
 
 class Outcome(enum.StrEnum):
-  """Whether the request may have had an effect."""
+  """Whether the request ran."""
 
   NOT_RUN = "not_run"
-  """No endpoint received it; a retry cannot double it."""
+  """No endpoint ran it; a retry cannot run it twice."""
   RAN = "ran"
-  """An endpoint ran it to the end."""
+  """An endpoint completed it."""
   MAY_HAVE_RUN = "may_have_run"
-  """An endpoint may have received it; the effect is unknown."""
+  """An endpoint may have received it; whether it ran is unknown."""
 
 
 class Verdict(NamedTuple):
-  """A caller-facing failure: outcome, HTTP status, reason, back-off."""
+  """An error for the caller: outcome, HTTP status, reason, Retry-After."""
 
   outcome: Outcome
   status: int
@@ -29,7 +29,7 @@
 
 
 class VerdictBody(TypedDict):
-  """The JSON error body, in the OpenAI error shape plus our fields."""
+  """The OpenAI error object, with `verdict` and `retry_after_s` added."""
 
   message: str
   type: str
@@ -37,20 +37,20 @@
   retry_after_s: float | None
 
 
-def refuse(
+def not_run(
     reason: str, retry_after_s: float | None, status: int = 429
 ) -> Verdict:
-  """Returns a not-run verdict with a time to come back (None: don't)."""
+  """Returns a not-run verdict; `retry_after_s` None means do not retry."""
   return Verdict(Outcome.NOT_RUN, status, reason, retry_after_s)
 
 
-def unknown(reason: str, status: int = 502) -> Verdict:
+def may_have_run(reason: str, status: int = 502) -> Verdict:
   """Returns a may-have-run verdict."""
   return Verdict(Outcome.MAY_HAVE_RUN, status, reason, None)
 
 
 def ran(reason: str, status: int = 409) -> Verdict:
-  """Returns a ran verdict: done before, and not done again."""
+  """Returns a ran verdict: an earlier request completed the work."""
   return Verdict(Outcome.RAN, status, reason, None)
 
 
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -1,4 +1,4 @@
-"""The router object: its loops outlive their faults."""
+"""Tests of the router object: errors in its loops and concurrent settling."""
 
 import anyio
 import testtools
@@ -15,8 +15,8 @@
 class LoopTest(testtools.TestCase):
 
   def test_fault_in_a_loop_does_not_end_the_router(self):
-    # A background loop breaks. The router runs it again; ended by it,
-    # the process would cut off every open stream.
+    # An exception in a background loop must not end the process, which
+    # would close every open stream: the loop is restarted.
     runs = []
 
     async def _loop():
@@ -35,35 +35,35 @@
     self.assertEqual(3, len(runs))
 
   def test_two_settlements_of_parts_at_once_do_not_break(self):
-    # Another router recalls tokens at the moment at which the tick
-    # settles them; the bench's overload once ended a router that way.
-    class _Peers:
+    # A recall by another router settles the same parts as the tick, at the
+    # same time; under overload, this ended a router process.
+    class _PeersStub:
 
       def __init__(self):
-        self.told = []
+        self.settled = []
 
       async def settle(self, owner, ended):
         await anyio.sleep(0.02)
-        self.told += ended
+        self.settled += ended
         return True
 
-    class _Members:
+    class _MembersStub:
       lives = {
           f"r{i}:e": members.Member(f"r{i}", "e", "", "", "") for i in (1, 2)
       }
 
     async def go():
       table = allotment.Table("r0:e", settings.Allotment())
-      asked = _Peers()
-      settler = settling.Settler(table, _Members(), asked, None)
+      peers_stub = _PeersStub()
+      settler = settling.Settler(table, _MembersStub(), peers_stub, None)
       for i in (1, 2):
         row = allotment.Row("b", f"r0:e:{i}", 9, 0.0, f"r{i}:e")
         settler.queue_ended(row)
       async with anyio.create_task_group() as tg:
         tg.start_soon(settler.settle_parts)
         tg.start_soon(settler.settle_parts)
-      return asked.told
+      return peers_stub.settled
 
-    told = anyio.run(go)
+    settled = anyio.run(go)
     expected = [peers.Ended(f"r0:e:{i}", 0) for i in (1, 2)]
-    self.assertEqual(expected, sorted(told))
+    self.assertEqual(expected, sorted(settled))
