--- a/mustardfall/emulator/__main__.py
+++ b/mustardfall/emulator/__main__.py
@@ -125,7 +125,7 @@
     for number in range(_SERVERS):
       server = server_lib.Server(f"i-{number}")
       server.behaviour.events = _EVENTS
-      server.behaviour.gap_s = 0.01
+      server.behaviour.event_interval_s = 0.01
       port = fleet.free_port()
       tg.start_soon(server.serve, port)
       entry = server_lib.list_entry(f"127.0.0.1:{port}")
--- a/mustardfall/emulator/server.py
+++ b/mustardfall/emulator/server.py
@@ -22,7 +22,7 @@
   events: int = 0
   """Events of a stream; 0: a plain answer."""
   first_id: int = 1
-  gap_s: float = 0.0
+  event_interval_s: float = 0.0
   work_s: float = 0.0
   cut_after: int | None = None
   """The connection is reset after this many events (0: no answer)."""
@@ -259,7 +259,7 @@
           await self._stream.send(_chunk(f"id: {number}\nda".encode()))
         return
       await self._stream.send(_chunk(f"id: {number}\ndata: x\n\n".encode()))
-      await anyio.sleep(how.gap_s)
+      await anyio.sleep(how.event_interval_s)
     await self._stream.send(b"0\r\n\r\n")
 
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -406,7 +406,7 @@
     # must come to its end in the time that the platform gives; keeping much
     # of that for handing budgets back cut the stream in the middle.
     behaviour = world.servers["i-1"].behaviour
-    behaviour.events, behaviour.gap_s = 15, 0.1
+    behaviour.events, behaviour.event_interval_s = 15, 0.1
     async with world.caller() as caller:
       await caller.send("/once/a", "r1", **StreamTest.USAGE)
       await world.until(lambda: world.servers["i-1"].seen)
