--- a/mustardfall/emulator/__main__.py
+++ b/mustardfall/emulator/__main__.py
@@ -128,7 +128,7 @@
       server.behaviour.event_interval_s = 0.01
       port = fleet.free_port()
       tg.start_soon(server.serve, port)
-      entry = server_lib.list_entry(f"127.0.0.1:{port}")
+      entry = server_lib.make_registration(f"127.0.0.1:{port}")
       store.put(f"servers/i-{number}", entry)
     async with _router(command, settings):
       async with httpx.AsyncClient(timeout=10) as http:
--- a/mustardfall/emulator/server.py
+++ b/mustardfall/emulator/server.py
@@ -54,7 +54,7 @@
   cancelled: bool = False
 
 
-def list_entry(
+def make_registration(
     address: str, started_ms: int = 0, state: str = "ready"
 ) -> dict[str, Any]:
   """Returns what a server writes of itself in the store's list."""
