--- a/mustardfall/emulator/store.py
+++ b/mustardfall/emulator/store.py
@@ -58,7 +58,7 @@
   """`silent`, `busy` (503), `reset` or `nonsense`; empty: up."""
   lose_answers: int = 0
   """Writes yet to be done without an answer."""
-  late_s: float = 0.0
+  apply_delay_s: float = 0.0
   """The lost writes are done only this much later."""
   refused: set[str] = dataclasses.field(default_factory=set)
   """Hosts that get 503, as they name themselves in `HOST_HEADER`."""
@@ -163,9 +163,9 @@
 
   async def _lose(self, data: dict[str, Any]) -> None:
     self.faults.lose_answers -= 1
-    if self.faults.late_s:
+    if self.faults.apply_delay_s:
       loop = asyncio.get_running_loop()
-      loop.call_later(self.faults.late_s, self._commit, data)
+      loop.call_later(self.faults.apply_delay_s, self._commit, data)
     else:
       self._commit(data)
     raise anyio.BrokenResourceError
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -287,9 +287,9 @@
     # The store does a grant's write and its answer is lost, or does it
     # seconds later. The tokens must not be granted twice.
     world.servers["i-1"].behaviour.events = 5
-    for late_s in (0.0, 0.2):
+    for apply_delay_s in (0.0, 0.2):
       world.store.faults.lose_answers = 1
-      world.store.faults.late_s = late_s
+      world.store.faults.apply_delay_s = apply_delay_s
       for n in range(4):
         await world.call("/once/a", f"r{late_s}{n}", **StreamTest.USAGE)
     await anyio.sleep(0.5)
