--- a/mustardfall/emulator/store.py
+++ b/mustardfall/emulator/store.py
@@ -96,7 +96,7 @@
     item = self.items.get(key)
     return None if item is None else json.loads(base64.b64decode(item.value))
 
-  def forget_history(self) -> None:
+  def compact_history(self) -> None:
     """Drops what watches could continue from."""
     self._history.clear()
     self._oldest = self.revision
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -306,7 +306,7 @@
     known = world.gateway.directory
     await world.until(lambda: known.configuration.version == 9)
     world.configure(version=4)
-    world.store.forget_history()
+    world.store.compact_history()
     await anyio.sleep(1.0)
     self.assertEqual(9, known.configuration.version)
 
@@ -314,7 +314,7 @@
   async def test_change_is_in_force_after_the_history_was_dropped(self, world):
     # The store drops its history while a watch waits; the watch is told
     # that it cannot go on, and the change must be found by a read.
-    world.store.forget_history()
+    world.store.compact_history()
     world.configure(version=3)
     known = world.gateway.directory
     await world.until(lambda: known.configuration.version == 3, 2.0)
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -99,7 +99,7 @@
       if len(seen) == 2:
         break
     self.assertEqual(("w/a", True), seen[-1])
-    server.forget_history()
+    server.compact_history()
 
     async def _next():
       async for _ in client.watch("w/", revision + 1, 0.2):
