--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -291,7 +291,7 @@
       world.store.faults.lose_answers = 1
       world.store.faults.apply_delay_s = apply_delay_s
       for n in range(4):
-        await world.call("/once/a", f"r{late_s}{n}", **StreamTest.USAGE)
+        await world.call("/once/a", f"r{apply_delay_s}{n}", **StreamTest.USAGE)
     await anyio.sleep(0.5)
     found = world.store.read(ledger.key("acme"))
     rows = world.gateway.accounts.pool.table.rows
