--- a/mustardfall/emulator/server.py
+++ b/mustardfall/emulator/server.py
@@ -29,7 +29,7 @@
   half_event: bool = False
   """The cut comes in the middle of the next event."""
   not_run: bool = False
-  stranger_first: bool = False
+  foreign_response_first: bool = False
   """An answer of another request comes first."""
   extra_after: bool = False
   """A second answer follows the first."""
@@ -219,7 +219,7 @@
     await anyio.sleep(how.work_s)
     if how.cut_after == 0:
       return
-    if how.stranger_first:
+    if how.foreign_response_first:
       stranger = {"request-id": "another", "response-signature": "s"}
       await self._stream.send(_head(200, stranger, 3) + b"\r\nold")
     if how.events:
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -116,7 +116,7 @@
   async def test_answer_of_another_request_is_passed_over(self, world):
     # An answer that nobody waits for any more arrives where this one's is
     # expected; the caller must get its own, which follows.
-    world.servers["i-1"].behaviour.stranger_first = True
+    world.servers["i-1"].behaviour.foreign_response_first = True
     answer = await world.call("/book/a", "r1")
     self.assertEqual(b"i-1 /book/a", answer.body)
 
