--- a/mustardfall/emulator/server.py
+++ b/mustardfall/emulator/server.py
@@ -31,7 +31,7 @@
   not_run: bool = False
   foreign_response_first: bool = False
   """An answer of another request comes first."""
-  extra_after: bool = False
+  extra_response: bool = False
   """A second answer follows the first."""
   unframed: bool = False
   """The answer has no length and ends with the connection."""
@@ -226,7 +226,7 @@
       await self._send_events()
     else:
       await self._send_plain()
-    if how.extra_after:
+    if how.extra_response:
       headers = {"request-id": "extra", "response-signature": "s"}
       await self._stream.send(_head(200, headers, 3) + b"\r\nbad")
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -124,7 +124,7 @@
   async def test_second_answer_spoils_the_connection_only(self, world):
     # The server sends a second answer after the first. Left on a kept
     # connection it would be read as the next request's.
-    world.servers["i-1"].behaviour.extra_after = True
+    world.servers["i-1"].behaviour.extra_response = True
     for n in range(3):
       answer = await world.call("/book/a", f"r{n}")
       self.assertEqual(b"i-1 /book/a", answer.body)
