--- a/mustardfall/emulator/server.py
+++ b/mustardfall/emulator/server.py
@@ -26,7 +26,7 @@
   work_s: float = 0.0
   cut_after: int | None = None
   """The connection is reset after this many events (0: no answer)."""
-  half_event: bool = False
+  partial_event: bool = False
   """The cut comes in the middle of the next event."""
   not_run: bool = False
   foreign_response_first: bool = False
@@ -255,7 +255,7 @@
     last = int(self._seen.headers.get("last-event-id", how.first_id - 1))
     for sent, number in enumerate(range(last + 1, how.first_id + how.events)):
       if how.cut_after is not None and sent >= how.cut_after:
-        if how.half_event:
+        if how.partial_event:
           await self._stream.send(_chunk(f"id: {number}\nda".encode()))
         return
       await self._stream.send(_chunk(f"id: {number}\ndata: x\n\n".encode()))
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -197,7 +197,7 @@
     for server in world.servers.values():
       server.behaviour.events = 6
     world.servers["i-1"].behaviour.cut_after = 2
-    world.servers["i-1"].behaviour.half_event = True
+    world.servers["i-1"].behaviour.partial_event = True
     for n in range(4):
       answer = await world.call("/text/a", f"r{n}", **self.USAGE)
       ids = [
