--- a/mustardfall/emulator/server.py
+++ b/mustardfall/emulator/server.py
@@ -23,7 +23,7 @@
   """Events of a stream; 0: a plain answer."""
   first_id: int = 1
   event_interval_s: float = 0.0
-  work_s: float = 0.0
+  response_delay_s: float = 0.0
   cut_after: int | None = None
   """The connection is reset after this many events (0: no answer)."""
   partial_event: bool = False
@@ -210,13 +210,13 @@
 
   async def begin(self) -> None:
     """Writes the head of an answer whose rest never comes."""
-    await anyio.sleep(self._how.work_s)
+    await anyio.sleep(self._how.response_delay_s)
     await self._stream.send(_head(200, self._headers(), 1_000) + b"\r\n")
 
   async def run(self) -> None:
     """Writes the whole answer."""
     how = self._how
-    await anyio.sleep(how.work_s)
+    await anyio.sleep(how.response_delay_s)
     if how.cut_after == 0:
       return
     if how.foreign_response_first:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -198,7 +198,7 @@
     # All connections have a request at work, so none can make room. Who comes
     # later gets a 503 with when to come back, not a connection that hangs.
     world.router.most_files = 120
-    world.server.behaviour.work_s = 1.5
+    world.server.behaviour.response_delay_s = 1.5
     world.router.start()
     await world.router.until_ready()
     found = []
@@ -218,7 +218,7 @@
     self.assertTrue(statuses[0] <= 15, statuses)
     self.assertEqual(150, statuses[200] + statuses[503] + statuses[0], statuses)
     self.assertEqual([], [s for s in found if s[0] == 503 and not s[1]])
-    world.server.behaviour.work_s = 0.0
+    world.server.behaviour.response_delay_s = 0.0
     self.assertEqual(200, (await world.call("/look/a", "last")).status)
 
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -163,7 +163,7 @@
   async def test_caller_that_leaves_ends_the_work(self, world):
     # The caller closes while its answer is awaited. The server must see
     # the close soon, or it works for nobody.
-    world.servers["i-1"].behaviour.work_s = 5.0
+    world.servers["i-1"].behaviour.response_delay_s = 5.0
     async with world.caller() as caller:
       await caller.send("/look/a", "r1")
       await world.until(lambda: world.servers["i-1"].seen)
@@ -171,7 +171,7 @@
 
   @in_world()
   async def test_silent_server_is_answered_for_at_the_timeout(self, world):
-    world.servers["i-1"].behaviour.work_s = 5.0
+    world.servers["i-1"].behaviour.response_delay_s = 5.0
     with anyio.fail_after(1.0):
       answer = await world.call("/book/a", "r1", deadline_ms="400")
     self.assertEqual(504, answer.status)
@@ -387,7 +387,7 @@
   async def test_stop_finishes_what_is_in_flight(self, world):
     # The platform stops the process while a booking is at work. Its caller
     # gets the answer, and is told that the connection closes.
-    world.servers["i-1"].behaviour.work_s = 0.6
+    world.servers["i-1"].behaviour.response_delay_s = 0.6
     async with world.caller() as caller:
       await caller.send("/book/a", "r1")
       await world.until(lambda: world.servers["i-1"].seen)
