--- a/mustardfall/emulator/server.py
+++ b/mustardfall/emulator/server.py
@@ -24,7 +24,7 @@
   first_id: int = 1
   event_interval_s: float = 0.0
   response_delay_s: float = 0.0
-  cut_after: int | None = None
+  reset_after_events: int | None = None
   """The connection is reset after this many events (0: no answer)."""
   partial_event: bool = False
   """The cut comes in the middle of the next event."""
@@ -169,7 +169,7 @@
         h11.Response(status_code=200, headers=[("content-length", "0")])
     )
     parser.send(h11.EndOfMessage())
-    keep = behaviour.cut_after is None and not behaviour.unframed
+    keep = behaviour.reset_after_events is None and not behaviour.unframed
     return keep and not seen.cancelled
 
 
@@ -217,7 +217,7 @@
     """Writes the whole answer."""
     how = self._how
     await anyio.sleep(how.response_delay_s)
-    if how.cut_after == 0:
+    if how.reset_after_events == 0:
       return
     if how.foreign_response_first:
       stranger = {"request-id": "another", "response-signature": "s"}
@@ -254,7 +254,7 @@
     await self._stream.send(_head(200, headers, None) + b"\r\n")
     last = int(self._seen.headers.get("last-event-id", how.first_id - 1))
     for sent, number in enumerate(range(last + 1, how.first_id + how.events)):
-      if how.cut_after is not None and sent >= how.cut_after:
+      if how.reset_after_events is not None and sent >= how.reset_after_events:
         if how.partial_event:
           await self._stream.send(_chunk(f"id: {number}\nda".encode()))
         return
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -75,10 +75,10 @@
   async def test_lost_answers_of_servers_that_go_on_do_not_count(self, world):
     """Guards against refusing a request for connections that break."""
     for server in world.servers.values():
-      server.behaviour.cut_after = 0
+      server.behaviour.reset_after_events = 0
     for answer in await self._send_often(world, 6):
       self.assertEqual(502, answer.status)
     for server in world.servers.values():
-      server.behaviour.cut_after = None
+      server.behaviour.reset_after_events = None
     answer = await self._send(world, "after")
     self.assertEqual(200, answer.status)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -100,14 +100,14 @@
   async def test_lost_answer_of_an_unsafe_request_is_no_refusal(self, world):
     # The server runs a booking and its connection breaks before the
     # answer. Told 503 the caller would book again; 502 promises nothing.
-    world.servers["i-1"].behaviour.cut_after = 0
+    world.servers["i-1"].behaviour.reset_after_events = 0
     answer = await world.call("/book/a", "r1")
     self.assertEqual(502, answer.status)
     self.assertEqual(1, len(world.servers["i-1"].seen))
 
   @in_world(servers=("i-1", "i-2"))
   async def test_lost_answer_of_a_safe_request_is_fetched_again(self, world):
-    world.servers["i-1"].behaviour.cut_after = 0
+    world.servers["i-1"].behaviour.reset_after_events = 0
     for n in range(4):
       answer = await world.call("/look/a", f"r{n}")
       self.assertEqual((200, b"i-2 /look/a"), (answer.status, answer.body))
@@ -196,7 +196,7 @@
     await save_up_second_sends(world)
     for server in world.servers.values():
       server.behaviour.events = 6
-    world.servers["i-1"].behaviour.cut_after = 2
+    world.servers["i-1"].behaviour.reset_after_events = 2
     world.servers["i-1"].behaviour.partial_event = True
     for n in range(4):
       answer = await world.call("/text/a", f"r{n}", **self.USAGE)
@@ -212,7 +212,7 @@
       self, world
   ):
     world.servers["i-1"].behaviour.events = 6
-    world.servers["i-1"].behaviour.cut_after = 2
+    world.servers["i-1"].behaviour.reset_after_events = 2
     answer = await world.call("/once/a", "r1", **self.USAGE)
     self.assertEqual((200, False), (answer.status, answer.whole))
     self.assertEqual(1, len(world.servers["i-1"].seen))
