--- a/mustardfall/emulator/server.py
+++ b/mustardfall/emulator/server.py
@@ -33,7 +33,7 @@
   """An answer of another request comes first."""
   extra_response: bool = False
   """A second answer follows the first."""
-  unframed: bool = False
+  close_delimited: bool = False
   """The answer has no length and ends with the connection."""
   unsigned: bool = False
   padding: int = 0
@@ -169,7 +169,9 @@
         h11.Response(status_code=200, headers=[("content-length", "0")])
     )
     parser.send(h11.EndOfMessage())
-    keep = behaviour.reset_after_events is None and not behaviour.unframed
+    keep = (
+        behaviour.reset_after_events is None and not behaviour.close_delimited
+    )
     return keep and not seen.cancelled
 
 
@@ -240,7 +242,7 @@
 
   async def _send_plain(self) -> None:
     body = f"{self._id} {self._seen.target}".encode() + bytes(self._how.padding)
-    length = None if self._how.unframed else len(body)
+    length = None if self._how.close_delimited else len(body)
     head = _head(self._how.status, self._headers(), length)
     await self._stream.send(head + b"\r\n" + body)
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -142,7 +142,7 @@
 
   @in_world()
   async def test_answer_without_length_is_whole_at_the_close(self, world):
-    world.servers["i-1"].behaviour.unframed = True
+    world.servers["i-1"].behaviour.close_delimited = True
     answer = await world.call("/book/a", "r1")
     self.assertEqual((200, b"i-1 /book/a"), (answer.status, answer.body))
 
