--- a/mustardfall/emulator/store.py
+++ b/mustardfall/emulator/store.py
@@ -56,7 +56,7 @@
 
   down: str = ""
   """`silent`, `busy` (503), `reset` or `nonsense`; empty: up."""
-  lose_answers: int = 0
+  lose_responses: int = 0
   """Writes yet to be done without an answer."""
   apply_delay_s: float = 0.0
   """The lost writes are done only this much later."""
@@ -154,7 +154,7 @@
     path, _, last = request.path.rpartition("/")
     lease = int(last) if last.isdigit() else 0
     data = json.loads(body) if body else {}
-    if request.path == "/-/kv-txn" and self.faults.lose_answers:
+    if request.path == "/-/kv-txn" and self.faults.lose_responses:
       await self._lose(data)
     status, answer = await self._answer(
         path if lease else request.path, fields, data, lease
@@ -162,7 +162,7 @@
     await responder.answer(status, [], json.dumps(answer).encode())
 
   async def _lose(self, data: dict[str, Any]) -> None:
-    self.faults.lose_answers -= 1
+    self.faults.lose_responses -= 1
     if self.faults.apply_delay_s:
       loop = asyncio.get_running_loop()
       loop.call_later(self.faults.apply_delay_s, self._commit, data)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -288,7 +288,7 @@
     # seconds later. The tokens must not be granted twice.
     world.servers["i-1"].behaviour.events = 5
     for apply_delay_s in (0.0, 0.2):
-      world.store.faults.lose_answers = 1
+      world.store.faults.lose_responses = 1
       world.store.faults.apply_delay_s = apply_delay_s
       for n in range(4):
         await world.call("/once/a", f"r{apply_delay_s}{n}", **StreamTest.USAGE)
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -111,7 +111,7 @@
   async def test_lost_answer_is_not_a_failed_write(self, server, client):
     # The store does the write and its answer is lost: the caller must not
     # take it for undone.
-    server.faults.lose_answers = 1
+    server.faults.lose_responses = 1
     put = [protocol.Put("k", b"1")]
     self.assertIs(errors.KvUnknownError, await _raised(client.txn, [], put))
     self.assertEqual(b"1", (await client.get("k")).value)
