--- a/mustardfall/emulator/store.py
+++ b/mustardfall/emulator/store.py
@@ -60,7 +60,7 @@
   """Writes yet to be done without an answer."""
   apply_delay_s: float = 0.0
   """The lost writes are done only this much later."""
-  refused: set[str] = dataclasses.field(default_factory=set)
+  rejected_hosts: set[str] = dataclasses.field(default_factory=set)
   """Hosts that get 503, as they name themselves in `HOST_HEADER`."""
 
 
@@ -145,7 +145,7 @@
       await responder.answer(200, [], next(self._nonsense))
       return
     host = dict(request.headers).get(HOST_HEADER, b"").decode()
-    if self.faults.down == "busy" or host in self.faults.refused:
+    if self.faults.down == "busy" or host in self.faults.rejected_hosts:
       await responder.answer(503, [])
       return
     self._expire()
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -440,7 +440,7 @@
       async with platformcase.running(servers=("i-1", "i-2")) as world:
         other = await world.add_gateway("front-2")
         await world.until(lambda: len(other.accounts.members.lives) == 2)
-        world.store.faults.refused.add("front-2")
+        world.store.faults.rejected_hosts.add("front-2")
         await anyio.sleep(0.6)
         world.configure(version=7, prepaid=5)
         world.store.remove("servers/i-2")
