--- a/mustardfall/emulator/__init__.py
+++ b/mustardfall/emulator/__init__.py
@@ -1,6 +1,6 @@
-"""The users' platform in small, for tests and the demo: store and servers.
+"""Emulator of the target platform's store and servers, for tests and demos.
 
-It speaks the platform's published protocol over loopback, with the faults
-that the platform has: outages, lost and late answers, dropped history,
-servers that break off, answer late or answer twice.
+It implements the platform's published protocol on loopback and can inject
+the platform's faults: outages, lost and delayed responses, compacted watch
+history, and servers that reset connections, respond late or respond twice.
 """
--- a/mustardfall/emulator/__main__.py
+++ b/mustardfall/emulator/__main__.py
@@ -1,8 +1,8 @@
-"""Runs a router before the emulated platform: `python -m mustardfall.emulator`.
+"""Runs a router on the emulated platform: `python -m mustardfall.emulator`.
 
-It starts the store and servers in this process and one router as a process
-of its own, drives some requests, prints a JSON summary, and leaves all up
-with `--keep`.
+Starts the store and the servers in this process and one router as a child
+process, sends some requests and prints a JSON summary. With `--keep`, all
+of them keep running until Ctrl-C.
 """
 
 import contextlib
@@ -23,15 +23,15 @@
 from mustardfall.emulator import store as store_lib
 
 _HOST = "shop.example"
-_KEY = "key-of-acme"
-_SERVERS = 3
-_EVENTS = 10
-_START_S = 20.0
-_STOP_S = 15.0
+_API_KEY = "key-of-acme"
+_SERVER_COUNT = 3
+_EVENTS_PER_STREAM = 10
+_START_TIMEOUT_S = 20.0
+_STOP_TIMEOUT_S = 15.0
 
 
 def _configuration() -> dict[str, Any]:
-  """Returns what the operator would write: a stream and a plain route."""
+  """Returns a platform configuration: a streaming and a plain route."""
   route = {
       "host": _HOST,
       "timeout_ms": 5000,
@@ -49,12 +49,12 @@
           {**route, "name": "look", "prefix": "/look/", "kind": "safe"},
       ],
       "services": [{"name": "pool", "max_conns": 50, "engine": {"stride": 4}}],
-      "tenants": [{"name": "acme", "api_keys": [_KEY], "prepaid": 100_000}],
+      "tenants": [{"name": "acme", "api_keys": [_API_KEY], "prepaid": 100_000}],
   }
 
 
 def _settings(store_port: int) -> dict[str, Any]:
-  """Returns the platform's settings file of one host."""
+  """Returns the content of a host's platform settings file."""
   listen = {
       role: f"127.0.0.1:{fleet.free_port()}"
       for role in ("front", "ready", "control")
@@ -83,14 +83,14 @@
       yield
     finally:
       process.terminate()
-      # In a thread: the router hands its budgets back to the store, which
-      # runs in this process.
+      # Waits in a thread: the exiting router still writes to the store,
+      # which runs on this process's event loop.
       with anyio.CancelScope(shield=True):
-        await anyio.to_thread.run_sync(process.wait, _STOP_S)
+        await anyio.to_thread.run_sync(process.wait, _STOP_TIMEOUT_S)
 
 
 async def _wait_ready(http: httpx.AsyncClient, address: str) -> None:
-  with anyio.fail_after(_START_S):
+  with anyio.fail_after(_START_TIMEOUT_S):
     while True:
       with contextlib.suppress(httpx.HTTPError):
         if (await http.get(f"http://{address}/")).status_code == 200:  # noqa: PLR2004
@@ -98,13 +98,15 @@
       await anyio.sleep(0.05)
 
 
-async def _drive(http: httpx.AsyncClient, front: str, count: int) -> dict:
-  """Makes requests in turn on both routes; returns what came back."""
+async def _send_requests(
+    http: httpx.AsyncClient, front: str, count: int
+) -> dict:
+  """Sends requests to both routes in turn; returns a summary."""
   statuses: dict[int, int] = {}
   events = 0
   for number in range(count):
     path = ("/text/", "/look/")[number % 2]
-    headers = {"host": _HOST, "credential": _KEY, "deadline-ms": "4000"}
+    headers = {"host": _HOST, "credential": _API_KEY, "deadline-ms": "4000"}
     headers["request-id"] = f"demo-{number}"
     if path == "/text/":
       headers["token-usage"] = "200,60"
@@ -122,9 +124,9 @@
   front = settings["listen"]["front"]
   async with anyio.create_task_group() as tg:
     tg.start_soon(store.serve, store_port)
-    for number in range(_SERVERS):
+    for number in range(_SERVER_COUNT):
       server = server_lib.Server(f"i-{number}")
-      server.behaviour.events = _EVENTS
+      server.behaviour.events = _EVENTS_PER_STREAM
       server.behaviour.event_interval_s = 0.01
       port = fleet.free_port()
       tg.start_soon(server.serve, port)
@@ -133,11 +135,11 @@
     async with _router(command, settings):
       async with httpx.AsyncClient(timeout=10) as http:
         await _wait_ready(http, settings["listen"]["ready"])
-        summary = await _drive(http, front, count)
+        summary = await _send_requests(http, front, count)
       click.echo(json.dumps(summary))
       if keep:
         click.echo(
-            f"try: curl -N -H 'Host: {_HOST}' -H 'Credential: {_KEY}' -H"
+            f"try: curl -N -H 'Host: {_HOST}' -H 'Credential: {_API_KEY}' -H"
             " 'Request-Id: 1' -H 'Token-Usage: 200,60' -d x"
             f" http://{front}/text/a\nCtrl-C ends it."
         )
@@ -147,14 +149,16 @@
 
 @click.command()
 @click.option("--requests", "count", default=40, show_default=True)
-@click.option("--keep", is_flag=True, help="Leave all up until Ctrl-C.")
+@click.option(
+    "--keep", is_flag=True, help="Keep everything running until Ctrl-C."
+)
 @click.option(
     "--router",
     default=f"{sys.executable} -m mustardfall.platform",
-    help="Command that runs the router; default: the adapter's program.",
+    help="Command that runs the router; default: the platform adapter.",
 )
 def main(count: int, keep: bool, router: str) -> None:
-  """Runs a router before the emulated platform."""
+  """Runs a router on the emulated platform."""
   with contextlib.suppress(KeyboardInterrupt):
     anyio.run(_run, count, keep, shlex.split(router))
 
--- a/mustardfall/emulator/server.py
+++ b/mustardfall/emulator/server.py
@@ -1,7 +1,7 @@
-"""A server of the platform: a plain one or a model server, with faults.
+"""Emulated platform server (plain service or model server) with faults.
 
-It speaks raw HTTP on purpose: most of its faults are bytes that a library
-would refuse to send.
+Responses are written as raw bytes: an HTTP library would refuse to send
+most of the faulty ones.
 """
 
 import dataclasses
@@ -16,36 +16,36 @@
 
 @dataclasses.dataclass
 class Behaviour:
-  """How a server treats its next requests, set by tests."""
+  """How a server responds to its next requests; set by tests."""
 
   status: int = 200
   events: int = 0
-  """Events of a stream; 0: a plain answer."""
+  """Events in a streamed response; 0: a plain response."""
   first_id: int = 1
   event_interval_s: float = 0.0
   response_delay_s: float = 0.0
   reset_after_events: int | None = None
-  """The connection is reset after this many events (0: no answer)."""
+  """Closes the connection after this many events (0: before the head)."""
   partial_event: bool = False
-  """The cut comes in the middle of the next event."""
+  """Sends part of the next event before the connection is closed."""
   not_run: bool = False
   foreign_response_first: bool = False
-  """An answer of another request comes first."""
+  """Sends a response with another request's id first."""
   extra_response: bool = False
-  """A second answer follows the first."""
+  """Sends a second response after the first."""
   close_delimited: bool = False
-  """The answer has no length and ends with the connection."""
+  """Sends no Content-Length; the end of the connection ends the body."""
   unsigned: bool = False
   padding: int = 0
-  """Bytes more in a plain answer."""
+  """Bytes appended to the body of a plain response."""
   crash_on: bytes | None = None
-  """A request whose body holds this ends the server once its answer begins."""
+  """If the body contains this, the server crashes after the response head."""
   encoded: bool = False
 
 
 @dataclasses.dataclass
-class Seen:
-  """A request as it arrived."""
+class ReceivedRequest:
+  """A request as received."""
 
   method: str
   target: str
@@ -57,7 +57,7 @@
 def make_registration(
     address: str, started_ms: int = 0, state: str = "ready"
 ) -> dict[str, Any]:
-  """Returns what a server writes of itself in the store's list."""
+  """Returns the entry by which a server registers itself in the store."""
   return {
       "service": "pool",
       "address": address,
@@ -72,23 +72,23 @@
 
 
 class Server:
-  """One server; `serve` puts it on the network.
+  """An emulated server; `serve` listens for connections.
 
   Args:
-    id: its id, which requests must expect.
+    id: instance id, which requests must send as `Expect-Instance`.
   """
 
-  def __init__(self, id: str) -> None:  # noqa: A002  the platform's word
+  def __init__(self, id: str) -> None:  # noqa: A002  the platform's term
     self.id = id
     self.behaviour = Behaviour()
-    self.seen: list[Seen] = []
+    self.seen: list[ReceivedRequest] = []
     self.connections = 0
     self.ended = anyio.Event()
-    """Set once the server has crashed; its port is closed then."""
+    """Set once the server has crashed and closed its port."""
     self._scope = anyio.CancelScope()
 
   async def serve(self, port: int) -> None:
-    """Serves on loopback until cancelled."""
+    """Serves on the loopback interface until cancelled."""
     listener = await anyio.create_tcp_listener(
         local_host="127.0.0.1", local_port=port
     )
@@ -98,7 +98,7 @@
         await listener.serve(self._serve_connection)
 
   async def crash(self) -> None:
-    """Ends the server with all its connections, its port first."""
+    """Closes the listening port, then all connections."""
     self._scope.cancel()
     with anyio.CancelScope(shield=True):
       await self._listener.aclose()
@@ -113,14 +113,14 @@
     except* (anyio.BrokenResourceError, anyio.ClosedResourceError):
       pass  # the router closed the connection
     except* h11.ProtocolError:
-      pass  # a fault of ours left the parser behind; the connection ends
+      pass  # an injected fault left the parser in an invalid state
     finally:
       with anyio.CancelScope(shield=True):
         await anyio.aclose_forcefully(stream)
 
   async def _read(
       self, stream: abc.SocketStream, parser: h11.Connection
-  ) -> Seen | None:
+  ) -> ReceivedRequest | None:
     head: h11.Request | None = None
     body = bytearray()
     while True:
@@ -136,7 +136,7 @@
         body += event.data
       elif isinstance(event, h11.EndOfMessage) and head is not None:
         headers = {k.decode(): v.decode() for k, v in head.headers}
-        return Seen(
+        return ReceivedRequest(
             head.method.decode(), head.target.decode(), headers, bytes(body)
         )
       else:
@@ -153,17 +153,17 @@
       await stream.send(_head(421, {"instance-id": self.id}) + b"\r\n")
       return False
     if behaviour.not_run:
-      head = _head(503, {"not-executed": "1", **_echo(seen)})
+      head = _head(503, {"not-executed": "1", **_request_id_header(seen)})
       await stream.send(head + b"\r\n")
       return False
     self.seen.append(seen)
     async with anyio.create_task_group() as tg:
-      tg.start_soon(_note_close, stream, seen, tg.cancel_scope)
-      answering = _Answering(stream, seen, behaviour, self.id)
+      tg.start_soon(_watch_disconnect, stream, seen, tg.cancel_scope)
+      writer = _ResponseWriter(stream, seen, behaviour, self.id)
       if behaviour.crash_on and behaviour.crash_on in seen.body:
-        await answering.begin()
+        await writer.send_partial()
         await self.crash()
-      await answering.run()
+      await writer.run()
       tg.cancel_scope.cancel()
     parser.send(
         h11.Response(status_code=200, headers=[("content-length", "0")])
@@ -175,8 +175,8 @@
     return keep and not seen.cancelled
 
 
-async def _note_close(
-    stream: abc.SocketStream, seen: Seen, scope: anyio.CancelScope
+async def _watch_disconnect(
+    stream: abc.SocketStream, seen: ReceivedRequest, scope: anyio.CancelScope
 ) -> None:
   try:
     await stream.receive(1)
@@ -185,7 +185,7 @@
     scope.cancel()
 
 
-def _echo(seen: Seen) -> dict[str, str]:
+def _request_id_header(seen: ReceivedRequest) -> dict[str, str]:
   return {"request-id": seen.headers.get("request-id", "")}
 
 
@@ -199,69 +199,80 @@
   return ("\r\n".join(lines) + "\r\n").encode()
 
 
-class _Answering:
-  """Writes one answer."""
+class _ResponseWriter:
+  """Writes one response."""
 
   def __init__(
-      self, stream: abc.SocketStream, seen: Seen, how: Behaviour, id_: str
+      self,
+      stream: abc.SocketStream,
+      seen: ReceivedRequest,
+      behaviour: Behaviour,
+      id_: str,
   ) -> None:
     self._stream = stream
     self._seen = seen
-    self._how = how
+    self._behaviour = behaviour
     self._id = id_
 
-  async def begin(self) -> None:
-    """Writes the head of an answer whose rest never comes."""
-    await anyio.sleep(self._how.response_delay_s)
+  async def send_partial(self) -> None:
+    """Writes only the head of a response."""
+    await anyio.sleep(self._behaviour.response_delay_s)
     await self._stream.send(_head(200, self._headers(), 1_000) + b"\r\n")
 
   async def run(self) -> None:
-    """Writes the whole answer."""
-    how = self._how
-    await anyio.sleep(how.response_delay_s)
-    if how.reset_after_events == 0:
+    """Writes the complete response, or as much as the faults allow."""
+    behaviour = self._behaviour
+    await anyio.sleep(behaviour.response_delay_s)
+    if behaviour.reset_after_events == 0:
       return
-    if how.foreign_response_first:
-      stranger = {"request-id": "another", "response-signature": "s"}
-      await self._stream.send(_head(200, stranger, 3) + b"\r\nold")
-    if how.events:
+    if behaviour.foreign_response_first:
+      foreign_headers = {"request-id": "another", "response-signature": "s"}
+      await self._stream.send(_head(200, foreign_headers, 3) + b"\r\nold")
+    if behaviour.events:
       await self._send_events()
     else:
       await self._send_plain()
-    if how.extra_response:
+    if behaviour.extra_response:
       headers = {"request-id": "extra", "response-signature": "s"}
       await self._stream.send(_head(200, headers, 3) + b"\r\nbad")
 
   def _headers(self) -> dict[str, str]:
-    headers = {**_echo(self._seen), "server-load": "1,0,8"}
-    if not self._how.unsigned:
+    headers = {**_request_id_header(self._seen), "server-load": "1,0,8"}
+    if not self._behaviour.unsigned:
       headers["response-signature"] = f"signed-by-{self._id}"
-    if self._how.encoded:
+    if self._behaviour.encoded:
       headers["content-encoding"] = "gzip"
     return headers
 
   async def _send_plain(self) -> None:
-    body = f"{self._id} {self._seen.target}".encode() + bytes(self._how.padding)
-    length = None if self._how.close_delimited else len(body)
-    head = _head(self._how.status, self._headers(), length)
+    body = f"{self._id} {self._seen.target}".encode() + bytes(
+        self._behaviour.padding
+    )
+    length = None if self._behaviour.close_delimited else len(body)
+    head = _head(self._behaviour.status, self._headers(), length)
     await self._stream.send(head + b"\r\n" + body)
 
   async def _send_events(self) -> None:
-    how = self._how
+    behaviour = self._behaviour
     headers = {
         **self._headers(),
         "content-type": "text/event-stream",
         "transfer-encoding": "chunked",
     }
     await self._stream.send(_head(200, headers, None) + b"\r\n")
-    last = int(self._seen.headers.get("last-event-id", how.first_id - 1))
-    for sent, number in enumerate(range(last + 1, how.first_id + how.events)):
-      if how.reset_after_events is not None and sent >= how.reset_after_events:
-        if how.partial_event:
+    last = int(self._seen.headers.get("last-event-id", behaviour.first_id - 1))
+    for events_sent, number in enumerate(
+        range(last + 1, behaviour.first_id + behaviour.events)
+    ):
+      if (
+          behaviour.reset_after_events is not None
+          and events_sent >= behaviour.reset_after_events
+      ):
+        if behaviour.partial_event:
           await self._stream.send(_chunk(f"id: {number}\nda".encode()))
         return
       await self._stream.send(_chunk(f"id: {number}\ndata: x\n\n".encode()))
-      await anyio.sleep(how.event_interval_s)
+      await anyio.sleep(behaviour.event_interval_s)
     await self._stream.send(b"0\r\n\r\n")
 
 
--- a/mustardfall/emulator/store.py
+++ b/mustardfall/emulator/store.py
@@ -1,4 +1,4 @@
-"""The platform's store: revisions, conditions, leases, watches, faults."""
+"""Emulated platform store: transactions, leases, watches and faults."""
 
 import asyncio
 import base64
@@ -17,11 +17,11 @@
 from mustardfall.util import clock as clock_lib
 
 HOST_HEADER = b"x-host"
-"""Names the calling host, since all share one address here."""
-_PAGE = 50
-"""Items in one answer; small, so that tests read several pages."""
-_WATCH_STEP_S = 0.01
-_NONSENSE = (
+"""Names the calling host: on loopback, all hosts have one address."""
+_PAGE_SIZE = 50
+"""Items in a range response; small, so that tests read several pages."""
+_WATCH_POLL_S = 0.01
+_INVALID_RESPONSES = (
     b"",
     b"null",
     b"[]",
@@ -36,15 +36,15 @@
     b' "events": [{"key": "op/config", "value": 3}], "store_revision": "x",'
     b' "lease": -1, "ttl_ms": {}, "rev": []}',
 )
-"""Answers that hold nothing of what was asked."""
+"""Malformed response bodies, sent in turn during a `nonsense` fault."""
 
 
 @dataclasses.dataclass
 class Item:
-  """One key."""
+  """The value and the revisions of one key, as written on the wire."""
 
   value: str
-  """Base64 text, as on the wire."""
+  """Base64 text."""
   rev: int
   created: int
   lease: int = 0
@@ -52,37 +52,37 @@
 
 @dataclasses.dataclass
 class Faults:
-  """What goes wrong, set by tests."""
+  """Injected faults; set by tests."""
 
   down: str = ""
   """`silent`, `busy` (503), `reset` or `nonsense`; empty: up."""
   lose_responses: int = 0
-  """Writes yet to be done without an answer."""
+  """How many of the next writes are applied but get no response."""
   apply_delay_s: float = 0.0
-  """The lost writes are done only this much later."""
+  """Delay after which writes with a lost response are applied."""
   rejected_hosts: set[str] = dataclasses.field(default_factory=set)
-  """Hosts that get 503, as they name themselves in `HOST_HEADER`."""
+  """Hosts, by their `HOST_HEADER`, whose calls get status 503."""
 
 
 class Store:
-  """The state and its calls; `serve` puts them on the network."""
+  """The store's state and its HTTP API; `serve` listens for connections."""
 
   def __init__(self, clock: clock_lib.Clock | None = None) -> None:
     self._clock = clock or clock_lib.SystemClock()
     self.items: dict[str, Item] = {}
     self.faults = Faults()
-    self._nonsense = itertools.cycle(_NONSENSE)
+    self._invalid_responses = itertools.cycle(_INVALID_RESPONSES)
     self.revision = 1
     self.writes = 0
     self._history: list[tuple[int, str]] = []
-    self._oldest = 0
+    self._compacted_revision = 0
     self._leases: dict[int, tuple[float, float]] = {}
     self._lease_ids = itertools.count(100)
 
-  # For tests.
+  # Direct access for tests.
 
   def put(self, key: str, value: dict[str, Any]) -> None:
-    """Writes as the operator or a server does."""
+    """Writes a JSON value, as an operator or a server would."""
     self._write(key, base64.b64encode(json.dumps(value).encode()).decode(), 0)
 
   def remove(self, key: str) -> None:
@@ -92,14 +92,14 @@
     self._history.append((self.revision, key))
 
   def read(self, key: str) -> Any:
-    """Returns a key's JSON value, None when absent."""
+    """Returns the JSON value of a key; None if absent."""
     item = self.items.get(key)
     return None if item is None else json.loads(base64.b64decode(item.value))
 
   def compact_history(self) -> None:
-    """Drops what watches could continue from."""
+    """Drops the watch history: older watches get status 410."""
     self._history.clear()
-    self._oldest = self.revision
+    self._compacted_revision = self.revision
 
   # State.
 
@@ -114,21 +114,21 @@
     now = self._clock.monotonic()
     for lease, (_, until) in list(self._leases.items()):
       if until < now:
-        self._end(lease)
+        self._revoke_lease(lease)
 
-  def _end(self, lease: int) -> None:
+  def _revoke_lease(self, lease: int) -> None:
     del self._leases[lease]
     for key, item in list(self.items.items()):
       if item.lease == lease:
         self.remove(key)
 
-  def _show(self, key: str) -> dict[str, Any]:
+  def _describe(self, key: str) -> dict[str, Any]:
     item = self.items.get(key)
     if item is None:
       return {"key": key, "rev": 0}
     return {"key": key, **dataclasses.asdict(item)}
 
-  # Calls.
+  # HTTP calls.
 
   async def handle(
       self,
@@ -136,13 +136,13 @@
       body: bytes,
       responder: front.Responder,
   ) -> None:
-    """Answers one call, or misbehaves as `faults` says."""
+    """Handles one call, with the faults that `faults` injects."""
     if self.faults.down == "silent":
       await anyio.sleep_forever()
     if self.faults.down == "reset":
       raise anyio.BrokenResourceError
     if self.faults.down == "nonsense":
-      await responder.answer(200, [], next(self._nonsense))
+      await responder.answer(200, [], next(self._invalid_responses))
       return
     host = dict(request.headers).get(HOST_HEADER, b"").decode()
     if self.faults.down == "busy" or host in self.faults.rejected_hosts:
@@ -155,13 +155,13 @@
     lease = int(last) if last.isdigit() else 0
     data = json.loads(body) if body else {}
     if request.path == "/-/kv-txn" and self.faults.lose_responses:
-      await self._lose(data)
+      await self._lose_response(data)
     status, answer = await self._answer(
         path if lease else request.path, fields, data, lease
     )
     await responder.answer(status, [], json.dumps(answer).encode())
 
-  async def _lose(self, data: dict[str, Any]) -> None:
+  async def _lose_response(self, data: dict[str, Any]) -> None:
     self.faults.lose_responses -= 1
     if self.faults.apply_delay_s:
       loop = asyncio.get_running_loop()
@@ -175,7 +175,7 @@
   ) -> tuple[int, dict[str, Any]]:
     if path == "/-/kv-key":
       found = fields["key"] in self.items
-      return (200, self._show(fields["key"])) if found else (404, {})
+      return (200, self._describe(fields["key"])) if found else (404, {})
     if path == "/-/kv-range":
       return 200, self._range(fields)
     if path == "/-/kv-watch":
@@ -185,9 +185,9 @@
     if path == "/-/kv-lease":
       return 200, self._grant(data["ttl_ms"] / 1000)
     if path == "/-/kv-keep":
-      return self._keep(lease)
+      return self._keep_alive(lease)
     if path == "/-/kv-lease-end" and lease in self._leases:
-      self._end(lease)
+      self._revoke_lease(lease)
       return 200, {}
     return 404, {}
 
@@ -197,8 +197,8 @@
         key for key in self.items if key.startswith(prefix) and key > after
     )
     return {
-        "items": [self._show(key) for key in keys[:_PAGE]],
-        "has_more": len(keys) > _PAGE,
+        "items": [self._describe(key) for key in keys[:_PAGE_SIZE]],
+        "has_more": len(keys) > _PAGE_SIZE,
         "store_revision": self.revision,
     }
 
@@ -206,7 +206,7 @@
     after = int(fields["after"])
     until = self._clock.monotonic() + int(fields["wait_ms"]) / 1000
     while True:
-      if after < self._oldest:
+      if after < self._compacted_revision:
         return 410, {}
       events = [
           self._event(rev, key)
@@ -215,12 +215,12 @@
       ]
       if events or self._clock.monotonic() >= until:
         return 200, {"events": events, "store_revision": self.revision}
-      await anyio.sleep(_WATCH_STEP_S)
+      await anyio.sleep(_WATCH_POLL_S)
 
   def _event(self, rev: int, key: str) -> dict[str, Any]:
     if key not in self.items:
       return {"key": key, "rev": rev, "removed": True}
-    return self._show(key)
+    return self._describe(key)
 
   def _commit(self, data: dict[str, Any]) -> tuple[int, dict[str, Any]]:
     self.writes += 1
@@ -228,7 +228,7 @@
     for row in rows:
       item = self.items.get(row["key"])
       if (item.rev if item else 0) != row["rev"]:
-        return 412, {"items": [self._show(r["key"]) for r in rows]}
+        return 412, {"items": [self._describe(r["key"]) for r in rows]}
     for put in data.get("set_keys", []):
       lease = put.get("lease", 0)
       if lease and lease not in self._leases:
@@ -244,7 +244,7 @@
     self._leases[lease] = (ttl_s, self._clock.monotonic() + ttl_s)
     return {"lease": lease, "ttl_ms": int(ttl_s * 1000)}
 
-  def _keep(self, lease: int) -> tuple[int, dict[str, Any]]:
+  def _keep_alive(self, lease: int) -> tuple[int, dict[str, Any]]:
     if lease not in self._leases:
       return 404, {}
     ttl_s, _ = self._leases[lease]
@@ -252,7 +252,7 @@
     return 200, {"ttl_ms": int(ttl_s * 1000)}
 
   async def serve(self, port: int) -> None:
-    """Serves on loopback until cancelled."""
+    """Serves on the loopback interface until cancelled."""
     served = front.Front(
         internal.Dialect(),
         self.handle,
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -1,4 +1,4 @@
-"""The README's line that runs a router before the emulated platform."""
+"""Tests the README's command that runs a router on the emulated platform."""
 
 import json
 import pathlib
