--- a/mustardfall/standins/kv.py
+++ b/mustardfall/standins/kv.py
@@ -43,7 +43,7 @@
   send: Any
 
 
-class _Server:
+class Server:
 
   def __init__(self) -> None:
     self.store = kvstore.Store()
@@ -112,7 +112,7 @@
 
 
 def _handler(
-    server: _Server, fn: Callable[[dict[str, Any]], tuple[dict[str, Any], bool]]
+    server: Server, fn: Callable[[dict[str, Any]], tuple[dict[str, Any], bool]]
 ):
   async def _handle(request: requests.Request) -> responses.Response:
     refused = await server._admit(request)  # noqa: SLF001
@@ -124,9 +124,9 @@
   return _handle
 
 
-def create_app(server: _Server | None = None) -> applications.Starlette:
+def create_app(server: Server | None = None) -> applications.Starlette:
   """Returns the ASGI application of the stand-in."""
-  server = server or _Server()
+  server = server or Server()
   store = server.store
 
   def _range(body):
