--- a/mustardfall/standins/__init__.py
+++ b/mustardfall/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the platform's systems, each run as its own process."""
+"""Stand-ins for external systems; each runs as a process of its own."""
--- a/mustardfall/standins/engine.py
+++ b/mustardfall/standins/engine.py
@@ -1,19 +1,21 @@
-"""An OpenAI-compatible model engine stand-in.
-
-`POST /v1/chat/completions` answers in the OpenAI shape, streamed as
-server-sent events or whole. The answer's first word echoes the first
-word of the last user message, so a caller can tell its answer from
-another's; the length is `max_tokens`, or fewer when the message says
-`words=N`. Priorities follow the vLLM convention: lower runs first.
-Load is reported at `GET /load` with a lag. `GET /v1/models` lists what
-is loaded; `POST /orders` takes `{"order": "load"|"unload", "model"}` with
-a `fencing-token` header, and refuses older ones with 409 if it honours
-them. `POST /standin/faults`
-takes `fail_next` (requests refused with 503 before any work),
-`fail_after_run` (requests run to the end, then answered 500),
-`drop_after` (the next stream is cut after that many tokens),
-`cross_next` (the next streams carry an event of another answer) and
-`stall_s` (a wait before the answer's first byte).
+"""Stand-in for an OpenAI-compatible model engine.
+
+`POST /v1/chat/completions` returns an OpenAI chat completion, as
+server-sent events or in one piece. Its first word is the first word of the
+last message, so that a caller can verify that the response is its own. Its
+length is `max_tokens`, or less if the message contains `words=N`. As in
+vLLM, requests with a lower priority value run first.
+
+`GET /load` reports the load with a lag, `GET /v1/models` the loaded models.
+`POST /orders` takes `{"order": "load"|"unload", "model"}` with a
+`fencing-token` header; if `honours_fencing` is set, a token lower than an
+earlier one is rejected with 409. `POST /standin/faults` takes:
+
+- `fail_next`: so many requests are rejected with 503 and not run.
+- `fail_after_run`: so many requests are run, then answered with 500.
+- `drop_after`: the next stream ends after that many tokens.
+- `cross_next`: so many streams contain an event of another response.
+- `stall_s`: delay before the first byte of each response.
 """
 
 import heapq
@@ -33,22 +35,22 @@
 from mustardfall.routing import orders
 from mustardfall.util import serving
 
-_WORDS = re.compile(r"words=(\d+)")
+_WORDS_PATTERN = re.compile(r"words=(\d+)")
 
 
-def count_prompt(messages: list[dict]) -> int:
-  """Returns the prompt's size in tokens, one token per word."""
+def count_prompt_tokens(messages: list[dict]) -> int:
+  """Returns the number of prompt tokens; each word counts as one."""
   return sum(len(str(m.get("content", "")).split()) for m in messages)
 
 
 class _Slots:
-  """Decodes at most `limit` requests at once; others wait by priority."""
+  """Runs at most `limit` requests at once; others queue by priority."""
 
   def __init__(self, limit: int) -> None:
     self._limit = limit
     self.running = 0
     self._waiting: list[tuple[int, int, anyio.Event]] = []
-    self._seq = itertools.count()
+    self._arrivals = itertools.count()
 
   @property
   def waiting(self) -> int:
@@ -59,7 +61,7 @@
       self.running += 1
       return
     ready = anyio.Event()
-    heapq.heappush(self._waiting, (priority, next(self._seq), ready))
+    heapq.heappush(self._waiting, (priority, next(self._arrivals), ready))
     await ready.wait()
 
   def release(self) -> None:
@@ -97,31 +99,31 @@
       faults["fail_next"] -= 1
       return responses.JSONResponse({"error": "injected"}, status_code=503)
     messages = body.get("messages") or []
-    last = str(messages[-1].get("content", "")) if messages else ""
-    nonce = (last.split() or ["-"])[0]
+    last_message = str(messages[-1].get("content", "")) if messages else ""
+    echoed_word = (last_message.split() or ["-"])[0]
     limit = int(
         body.get("max_tokens") or body.get("max_completion_tokens") or 16
     )
-    asked = _WORDS.search(last)
-    length = min(limit, int(asked.group(1))) if asked else limit
-    prompt = count_prompt(messages)
-    words = [nonce] + [f"w{i}" for i in range(1, length)]
-    drop = faults["drop_after"]
+    length_match = _WORDS_PATTERN.search(last_message)
+    length = min(limit, int(length_match.group(1))) if length_match else limit
+    prompt_tokens = count_prompt_tokens(messages)
+    words = [echoed_word] + [f"w{i}" for i in range(1, length)]
+    drop_after = faults["drop_after"]
     faults["drop_after"] = 0
-    crossed = faults["cross_next"] > 0
+    add_foreign_event = faults["cross_next"] > 0
     faults["cross_next"] = max(0, faults["cross_next"] - 1)
     await anyio.sleep(faults["stall_s"])
-    cid = f"chatcmpl-{uuid.uuid4().hex[:12]}"
+    completion_id = f"chatcmpl-{uuid.uuid4().hex[:12]}"
     priority = int(body.get("priority") or 0)
     stats["requests"] += 1
     usage = {
-        "prompt_tokens": prompt,
+        "prompt_tokens": prompt_tokens,
         "completion_tokens": len(words),
-        "total_tokens": prompt + len(words),
+        "total_tokens": prompt_tokens + len(words),
     }
 
     def _chunk(
-        delta: dict, finish: str | None = None, answer: str = cid
+        delta: dict, finish: str | None = None, answer: str = completion_id
     ) -> str:
       data = {
           "id": answer,
@@ -137,7 +139,7 @@
       try:
         await anyio.sleep(config.first_token_s)
         for i, word in enumerate(words):
-          if drop and i >= drop:
+          if drop_after and i >= drop_after:
             return
           if i:
             await anyio.sleep(1.0 / config.tokens_per_s)
@@ -158,21 +160,21 @@
         async for word in _generate():
           yield _chunk({"content": word if sent == 0 else " " + word})
           sent += 1
-          if crossed and sent == 1:
+          if add_foreign_event and sent == 1:
             yield _chunk({"content": " stray"}, answer="chatcmpl-other")
         if sent < len(words):
-          return  # dropped: the stream ends without a finish or [DONE]
+          return  # drop_after: ends without a finish reason and [DONE]
         yield _chunk({}, "stop" if length < limit else "length")
         if (body.get("stream_options") or {}).get("include_usage"):
-          tail = {
-              "id": cid,
+          usage_chunk = {
+              "id": completion_id,
               "object": "chat.completion.chunk",
               "created": int(time.time()),
               "model": body.get("model", ""),
               "choices": [],
               "usage": usage,
           }
-          yield f"data: {json.dumps(tail)}\n\n"
+          yield f"data: {json.dumps(usage_chunk)}\n\n"
         yield "data: [DONE]\n\n"
 
       return responses.StreamingResponse(
@@ -181,7 +183,7 @@
     text = " ".join([w async for w in _generate()])
     return responses.JSONResponse(
         {
-            "id": cid,
+            "id": completion_id,
             "object": "chat.completion",
             "created": int(time.time()),
             "model": body.get("model", ""),
--- a/mustardfall/standins/hosts.py
+++ b/mustardfall/standins/hosts.py
@@ -1,9 +1,8 @@
-"""The host-list stand-in: live and leaving endpoints, shown with a lag.
+"""Stand-in for the host list, which reports endpoints with a lag.
 
-`GET /hosts` answers `{"hosts": [HostEntry, ...]}` as the list stood
-`lag_s` seconds ago, with an `ETag`, and 304 to an `If-None-Match` that
-still holds; `POST /hosts` takes one entry and replaces the
-entry of that name (a new state, or a new host).
+`GET /hosts` returns `{"hosts": [HostEntry, ...]}` as of `lag_s` seconds ago
+with an `ETag`, or 304 if `If-None-Match` equals it. `POST /hosts` adds a
+host entry, or replaces the entry with the same name.
 """
 
 import time
@@ -22,17 +21,19 @@
   initial = {h.name: h.model_dump() for h in config.hosts}
   history: list[tuple[float, dict[str, dict]]] = [(0.0, initial)]
 
-  def _visible() -> tuple[str, dict[str, dict]]:
+  def _list_with_lag() -> tuple[str, dict[str, dict]]:
     cutoff = time.monotonic() - config.lag_s
-    past = [(t, shown) for t, shown in history if t <= cutoff] or history[:1]
-    return f'"{past[-1][0]}"', past[-1][1]
+    visible = [
+        (t, entries) for t, entries in history if t <= cutoff
+    ] or history[:1]
+    return f'"{visible[-1][0]}"', visible[-1][1]
 
   async def _get(request: requests.Request) -> responses.Response:
-    tag, shown = _visible()
-    headers = {"etag": tag}
-    if request.headers.get("if-none-match") == tag:
+    etag, entries = _list_with_lag()
+    headers = {"etag": etag}
+    if request.headers.get("if-none-match") == etag:
       return responses.Response(status_code=304, headers=headers)
-    hosts = {"hosts": list(shown.values())}
+    hosts = {"hosts": list(entries.values())}
     return responses.JSONResponse(hosts, headers=headers)
 
   async def _post(request: requests.Request) -> responses.Response:
--- a/mustardfall/standins/kv.py
+++ b/mustardfall/standins/kv.py
@@ -1,8 +1,7 @@
-"""HTTP server of the key-value stand-in (etcd v3 JSON gateway subset).
+"""HTTP server of the key-value stand-in (subset of etcd's v3 JSON gateway).
 
-Besides the gateway paths it serves `/standin/faults` (POST, to inject
-faults) and `/standin/stats` (GET, calls counted), used by tests and the
-bench.
+Tests and the bench also use `POST /standin/faults`, which injects faults,
+and `GET /standin/stats`, which returns counters.
 """
 
 from collections.abc import Callable
@@ -24,26 +23,25 @@
 
 logger = logging.getLogger(__name__)
 
-_HISTORY = 20_000
-"""Watch events kept for replay from an older start revision."""
-
-
-_SILENT_S = 30.0
-"""How long a call hangs while its caller is cut off silently."""
-_PROGRESS_S = 2.0
-"""Seconds between progress notifications of a quiet watch."""
+_MAX_HISTORY_EVENTS = 20_000
+"""Watch events kept for watches that start at an older revision."""
+_SILENT_CALL_S = 30.0
+"""Delay of the 503 response to a blocked client with the `silent` fault."""
+_PROGRESS_INTERVAL_S = 2.0
+"""Interval of progress notifications on a watch without events."""
 
 
 class _Watcher(NamedTuple):
-  """One open watch: who holds it, its key range and its events."""
+  """An open watch: its client, its key range and its event channel."""
 
-  who: str
-  start: bytes
-  end: bytes
+  client: str
+  first_key: bytes
+  end_key: bytes
   send: Any
 
 
 class Server:
+  """The store, its watches and the injected faults."""
 
   def __init__(self) -> None:
     self.store = kvstore.Store()
@@ -56,20 +54,22 @@
     if not events:
       return
     self.history.extend(events)
-    del self.history[:-_HISTORY]
+    del self.history[:-_MAX_HISTORY_EVENTS]
     for watcher in self.watchers:
-      matched = [e for e in events if _matches(e, watcher.start, watcher.end)]
-      if matched and not self._cut_off(watcher.who):
+      matched = [
+          e for e in events if _matches(e, watcher.first_key, watcher.end_key)
+      ]
+      if matched and not self._is_blocked(watcher.client):
         try:
           watcher.send.send_nowait(matched)
         except (anyio.WouldBlock, anyio.BrokenResourceError):
           pass
 
-  def _cut_off(self, who: str) -> bool:
-    return self.faults.down or who in self.faults.blocked
+  def _is_blocked(self, client: str) -> bool:
+    return self.faults.down or client in self.faults.blocked
 
   def change_faults(self, body: dict[str, Any]) -> None:
-    """Sets the faults named in `body`; watches that it cuts off end."""
+    """Sets the faults in `body`; closes watches of clients now blocked."""
     faults = self.faults
     faults.down = bool(body.get("down", faults.down))
     faults.delay_s = float(body.get("delay_s", faults.delay_s))
@@ -81,20 +81,20 @@
     if "blocked" in body:
       faults.blocked = frozenset(body["blocked"])
     for watcher in self.watchers:
-      if self._cut_off(watcher.who) and not faults.silent:
+      if self._is_blocked(watcher.client) and not faults.silent:
         watcher.send.close()
 
-  async def _admit(
+  async def _apply_faults(
       self, request: requests.Request
   ) -> responses.Response | None:
     self.calls += 1
     self._publish(self.store.expire(time.monotonic()))
     if self.faults.delay_s:
       await anyio.sleep(self.faults.delay_s)
-    who = request.headers.get(kv_client.CLIENT_HEADER, "")
-    if self._cut_off(who):
+    client = request.headers.get(kv_client.CLIENT_HEADER, "")
+    if self._is_blocked(client):
       if self.faults.silent:
-        await anyio.sleep(_SILENT_S)
+        await anyio.sleep(_SILENT_CALL_S)
       return responses.JSONResponse({"error": "unavailable"}, status_code=503)
     return None
 
@@ -106,26 +106,27 @@
     return responses.JSONResponse(body)
 
 
-def _matches(event: dict[str, Any], start: bytes, end: bytes) -> bool:
-  key = kvstore._unb64(event["kv"]["key"])  # noqa: SLF001
-  return key == start if not end else start <= key < end
+def _matches(event: dict[str, Any], first_key: bytes, end_key: bytes) -> bool:
+  key = kvstore.decode_base64(event["kv"]["key"])
+  return key == first_key if not end_key else first_key <= key < end_key
 
 
 def _handler(
-    server: Server, fn: Callable[[dict[str, Any]], tuple[dict[str, Any], bool]]
+    server: Server,
+    operation: Callable[[dict[str, Any]], tuple[dict[str, Any], bool]],
 ):
   async def _handle(request: requests.Request) -> responses.Response:
-    refused = await server._admit(request)  # noqa: SLF001
+    refused = await server._apply_faults(request)  # noqa: SLF001
     if refused is not None:
       return refused
-    body, wrote = fn(await request.json())
+    body, wrote = operation(await request.json())
     return server._reply(body, wrote)  # noqa: SLF001
 
   return _handle
 
 
 def create_app(server: Server | None = None) -> applications.Starlette:
-  """Returns the ASGI application of the stand-in."""
+  """Returns the ASGI application of the key-value stand-in."""
   server = server or Server()
   store = server.store
 
@@ -141,7 +142,7 @@
 
   def _txn(body):
     reply, events = store.txn(body)
-    # A transaction that would write costs a write, also when it loses.
+    # A transaction with writes counts as a write even if its compare fails.
     if any("request_range" not in op for op in body.get("success") or []):
       store.writes += 1
     else:
@@ -174,21 +175,22 @@
     return {"header": store.header()}, True
 
   async def _watch(request: requests.Request) -> responses.Response:
-    refused = await server._admit(request)  # noqa: SLF001
+    refused = await server._apply_faults(request)  # noqa: SLF001
     if refused is not None:
       return refused
     create = (await request.json()).get("create_request", {})
-    start = kvstore._unb64(create.get("key"))  # noqa: SLF001
-    end = kvstore._unb64(create.get("range_end"))  # noqa: SLF001
-    since = int(create.get("start_revision", 0) or 0)
+    first_key = kvstore.decode_base64(create.get("key"))
+    end_key = kvstore.decode_base64(create.get("range_end"))
+    start_revision = int(create.get("start_revision", 0) or 0)
     send, receive = anyio.create_memory_object_stream(1000)
     backlog = [
         e
         for e in server.history
-        if int(e["kv"]["mod_revision"]) >= since and _matches(e, start, end)
+        if int(e["kv"]["mod_revision"]) >= start_revision
+        and _matches(e, first_key, end_key)
     ]
-    who = request.headers.get(kv_client.CLIENT_HEADER, "")
-    watcher = _Watcher(who, start, end, send)
+    client = request.headers.get(kv_client.CLIENT_HEADER, "")
+    watcher = _Watcher(client, first_key, end_key, send)
     server.watchers.append(watcher)
 
     async def _lines():
@@ -199,14 +201,14 @@
           yield json.dumps({"result": {"events": backlog}}) + "\n"
         async with receive:
           while True:
-            with anyio.move_on_after(_PROGRESS_S):
+            with anyio.move_on_after(_PROGRESS_INTERVAL_S):
               try:
                 events = await receive.receive()
               except anyio.EndOfStream:
                 return
               yield json.dumps({"result": {"events": events}}) + "\n"
               continue
-            if not server._cut_off(who):  # noqa: SLF001
+            if not server._is_blocked(client):  # noqa: SLF001
               yield json.dumps({"result": {"header": store.header()}}) + "\n"
       finally:
         server.watchers.remove(watcher)
--- a/mustardfall/standins/kvstore.py
+++ b/mustardfall/standins/kvstore.py
@@ -1,8 +1,8 @@
-"""The state machine of the key-value stand-in, without HTTP.
+"""State machine of the key-value stand-in, without HTTP.
 
-Kept apart from the server so that property tests can drive it directly
-and inject the faults of the real service: outages, lost replies after
-the write took effect, and clients cut off from it.
+It is separate from the server so that property tests can call it directly.
+`Faults` lists the faults of the real service that the server injects:
+outages, lost responses of applied writes, and partitioned clients.
 """
 
 import base64
@@ -21,51 +21,52 @@
 
 @dataclasses.dataclass
 class Faults:
-  """Faults the stand-in injects; changed at run time by tests."""
+  """Faults that the stand-in injects; tests change them at run time."""
 
   down: bool = False
-  """Every call fails with 503 and changes nothing."""
+  """All calls fail with 503 and change nothing."""
   delay_s: float = 0.0
-  """Every call waits this long first."""
+  """Delay before each call is processed."""
   lose_replies: int = 0
-  """The next N writes take effect, then fail as if the reply was lost."""
+  """The next N writes are applied but return an error (lost response)."""
   down_after_loss: bool = False
-  """The service goes down with the next reply that it loses."""
+  """Sets `down` when the next response is lost."""
   blocked: frozenset[str] = frozenset()
-  """Clients (by name) whose calls fail unapplied: a partition."""
+  """Names of partitioned clients, whose calls fail without being applied."""
   silent: bool = False
-  """Cut-off calls hang, and cut-off watches stay open without a word."""
+  """Calls of blocked clients hang; their watches stay open without data."""
 
 
-def _b64(raw: bytes) -> str:
+def _encode_base64(raw: bytes) -> str:
   return base64.b64encode(raw).decode()
 
 
-def _unb64(text: str | None) -> bytes:
+def decode_base64(text: str | None) -> bytes:
+  """Decodes a key or a value of the JSON gateway; absent means empty."""
   return base64.b64decode(text) if text else b""
 
 
 class Store:
-  """Keys, revisions and leases, as etcd v3 keeps them."""
+  """Keys, revisions and leases with the semantics of etcd v3."""
 
   def __init__(self) -> None:
     self.revision = 1
     self.entries: dict[bytes, _Entry] = {}
     self.leases: dict[int, tuple[float, int]] = {}
-    """Lease id to its deadline (monotonic seconds) and its TTL."""
+    """Maps a lease id to its deadline (monotonic seconds) and its TTL."""
     self._next_lease = 0x1000
     self.writes = 0
     self.reads = 0
 
   def _kv(self, key: bytes) -> dict[str, Any]:
-    e = self.entries[key]
+    entry = self.entries[key]
     return {
-        "key": _b64(key),
-        "value": _b64(e.value),
-        "create_revision": str(e.create_revision),
-        "mod_revision": str(e.mod_revision),
-        "version": str(e.version),
-        "lease": str(e.lease),
+        "key": _encode_base64(key),
+        "value": _encode_base64(entry.value),
+        "create_revision": str(entry.create_revision),
+        "mod_revision": str(entry.mod_revision),
+        "version": str(entry.version),
+        "lease": str(entry.lease),
     }
 
   def header(self) -> dict[str, str]:
@@ -73,14 +74,14 @@
     return {"revision": str(self.revision)}
 
   def _keys(self, op: dict[str, Any]) -> list[bytes]:
-    key = _unb64(op.get("key"))
-    end = _unb64(op.get("range_end"))
+    key = decode_base64(op.get("key"))
+    end = decode_base64(op.get("range_end"))
     if not end:
       return [key] if key in self.entries else []
     return sorted(k for k in self.entries if key <= k < end)
 
   def range(self, op: dict[str, Any]) -> dict[str, Any]:
-    """Answers a range request."""
+    """Handles a range request."""
     keys = self._keys(op)
     limit = int(op.get("limit", 0) or 0) or len(keys)
     return {
@@ -92,11 +93,11 @@
 
   def put(self, op: dict[str, Any]) -> tuple[dict[str, Any], dict[str, Any]]:
     """Applies a put; returns the response and the watch event."""
-    key = _unb64(op.get("key"))
+    key = decode_base64(op.get("key"))
     self.revision += 1
     old = self.entries.get(key)
     self.entries[key] = _Entry(
-        value=_unb64(op.get("value")),
+        value=decode_base64(op.get("value")),
         create_revision=old.create_revision if old else self.revision,
         mod_revision=self.revision,
         version=(old.version + 1) if old else 1,
@@ -118,24 +119,27 @@
       del self.entries[k]
     tombstone = {"mod_revision": str(self.revision)}
     return [
-        {"type": "DELETE", "kv": {"key": _b64(k), **tombstone}} for k in keys
+        {"type": "DELETE", "kv": {"key": _encode_base64(k), **tombstone}}
+        for k in keys
     ]
 
-  def _holds(self, cmp: dict[str, Any]) -> bool:
-    entry = self.entries.get(_unb64(cmp.get("key")))
-    target = cmp.get("target", "VERSION")
+  def _is_satisfied(self, comparison: dict[str, Any]) -> bool:
+    entry = self.entries.get(decode_base64(comparison.get("key")))
+    target = comparison.get("target", "VERSION")
     if target == "MOD":
       actual = entry.mod_revision if entry else 0
-      expected = int(cmp.get("mod_revision", 0))
+      expected = int(comparison.get("mod_revision", 0))
     elif target == "CREATE":
       actual = entry.create_revision if entry else 0
-      expected = int(cmp.get("create_revision", 0))
+      expected = int(comparison.get("create_revision", 0))
     elif target == "VALUE":
-      return (entry.value if entry else b"") == _unb64(cmp.get("value"))
+      return (entry.value if entry else b"") == decode_base64(
+          comparison.get("value")
+      )
     else:
       actual = entry.version if entry else 0
-      expected = int(cmp.get("version", 0))
-    result = cmp.get("result", "EQUAL")
+      expected = int(comparison.get("version", 0))
+    result = comparison.get("result", "EQUAL")
     if result == "EQUAL":
       return actual == expected
     if result == "GREATER":
@@ -148,7 +152,7 @@
       self, body: dict[str, Any]
   ) -> tuple[dict[str, Any], list[dict[str, Any]]]:
     """Applies a transaction; returns the response and watch events."""
-    succeeded = all(self._holds(c) for c in body.get("compare") or [])
+    succeeded = all(self._is_satisfied(c) for c in body.get("compare") or [])
     ops = body.get("success" if succeeded else "failure") or []
     responses, events = [], []
     for op in ops:
@@ -159,8 +163,8 @@
       elif "request_range" in op:
         responses.append({"response_range": self.range(op["request_range"])})
       elif "request_delete_range" in op:
-        reply, gone = self.delete(op["request_delete_range"])
-        events.extend(gone)
+        reply, removed = self.delete(op["request_delete_range"])
+        events.extend(removed)
         responses.append({"response_delete_range": reply})
     return {
         "header": self.header(),
@@ -175,7 +179,7 @@
     return self._next_lease
 
   def keep_alive(self, lease: int, now: float) -> int:
-    """Renews `lease` to its full term; returns its TTL, 0 when lapsed."""
+    """Renews `lease` for its full TTL; returns the TTL, 0 if it expired."""
     if lease not in self.leases:
       return 0
     _, ttl_s = self.leases[lease]
@@ -183,17 +187,17 @@
     return ttl_s
 
   def revoke(self, lease: int) -> None:
-    """Makes `lease` lapse at the next `expire`."""
+    """Makes `lease` expire at the next call of `expire`."""
     if lease in self.leases:
       self.leases[lease] = (0.0, self.leases[lease][1])
 
   def expire(self, now: float) -> list[dict[str, Any]]:
-    """Drops lapsed leases and their keys; returns the watch events."""
-    lapsed = {i for i, (deadline, _) in self.leases.items() if deadline <= now}
-    for lease in lapsed:
+    """Removes expired leases and their keys; returns the watch events."""
+    expired = {i for i, (deadline, _) in self.leases.items() if deadline <= now}
+    for lease in expired:
       del self.leases[lease]
-    if not lapsed:
+    if not expired:
       return []
     return self._remove(
-        [k for k, e in self.entries.items() if e.lease in lapsed]
+        [k for k, entry in self.entries.items() if entry.lease in expired]
     )
--- a/mustardfall/standins/service.py
+++ b/mustardfall/standins/service.py
@@ -1,10 +1,10 @@
-"""A plain service stand-in whose bookings must not be repeated.
+"""Stand-in for a plain service whose calls are not idempotent.
 
-`POST /v1/bookings` with `{"item": str}` books once per call; it counts
-how many calls carried an `Idempotency-Key` already seen, which is the
-measure of at-most-once failures. `GET /standin/stats` reports counts;
-`POST /standin/faults` takes `fail_after_run` (calls that book, then
-answer 500 with no JSON).
+`POST /v1/bookings` with `{"item": str}` makes one booking per call. Calls
+with an `Idempotency-Key` that was used before are counted as `duplicates`:
+violations of at-most-once delivery. `GET /standin/stats` returns the
+counters; `POST /standin/faults` takes `fail_after_run`, the number of calls
+that make a booking but return 500 without JSON.
 """
 
 import collections
@@ -22,8 +22,8 @@
 
 def create_app(config: settings.ServiceStandin) -> applications.Starlette:
   """Returns the ASGI application of the service."""
-  seen: collections.Counter[str] = collections.Counter()
-  numbers = itertools.count(1)
+  calls_by_key: collections.Counter[str] = collections.Counter()
+  booking_numbers = itertools.count(1)
   stats = {"executions": 0, "duplicates": 0}
   faults = {"fail_after_run": 0}
 
@@ -33,15 +33,15 @@
     await anyio.sleep(config.latency_s)
     stats["executions"] += 1
     if key:
-      seen[key] += 1
-      if seen[key] > 1:
+      calls_by_key[key] += 1
+      if calls_by_key[key] > 1:
         stats["duplicates"] += 1
     if faults["fail_after_run"] > 0:
       faults["fail_after_run"] -= 1
       return responses.PlainTextResponse("broke", status_code=500)
     return responses.JSONResponse(
         {
-            "booking": f"{config.name}-{next(numbers)}",
+            "booking": f"{config.name}-{next(booking_numbers)}",
             "item": body.get("item"),
             "usage": {"total_tokens": 1},
         }
