--- a/tests/fleetcase.py
+++ b/tests/fleetcase.py
@@ -1,4 +1,4 @@
-"""A test case that starts a small fleet of real processes."""
+"""Test case that starts a small fleet of router processes and stand-ins."""
 
 import time
 
@@ -17,7 +17,7 @@
 ENTRY = sample.catalogue().entries[0]
 SMALL = sample.catalogue().entries[9]
 QUICK = settings.Membership(ttl_s=2, grace_s=1.0, watch_idle_s=3.0)
-"""Routers learn within about three seconds that one is gone."""
+"""Routers notice within about three seconds that another has exited."""
 
 
 async def kv_do(url: str, fn):
@@ -38,9 +38,9 @@
       engine=None,
       **overrides,
   ):
-    """Starts a platform and routers; sets `fleet`, `urls` and `routers`.
+    """Starts stand-ins and routers; sets `fleet`, `urls` and `routers`.
 
-    `engine` holds settings of the engines, `overrides` of the routers.
+    `engine` overrides settings of the engines, `overrides` of the routers.
     """
     self.fleet = fleet_lib.Fleet()
     self.addCleanup(self.fleet.__exit__)
@@ -48,8 +48,14 @@
     self.urls = fleet_lib.start_platform(self.fleet, dcs, engine)
     self.kv_do(lambda kv: store.apply(kv, sample.catalogue()))
     names = tuple(dcs[i % len(dcs)] for i in range(routers))
-    kept = {"tick_s": 0.2, "drain_s": 10.0, "lame_duck_s": 0.2} | overrides
-    self.routers = fleet_lib.start_routers(self.fleet, self.urls, names, **kept)
+    settings_overrides = {
+        "tick_s": 0.2,
+        "drain_s": 10.0,
+        "lame_duck_s": 0.2,
+    } | overrides
+    self.routers = fleet_lib.start_routers(
+        self.fleet, self.urls, names, **settings_overrides
+    )
     self.fleet.wait_ready()
     time.sleep(0.6)
 
@@ -89,7 +95,7 @@
     )
 
   def inject(self, name: str, **faults) -> None:
-    """Sets faults of the stand-in `name`."""
+    """Injects faults into the stand-in `name`."""
     httpx.post(self.urls[name] + "/standin/faults", json=faults)
 
   def standin_stats(self, name: str) -> dict:
@@ -108,9 +114,9 @@
     httpx.post(self.urls["hosts"] + "/hosts", json=entry.model_dump())
 
   def wait_until(self, check, timeout_s: float = 10.0) -> None:
-    """Waits until `check()` holds, or fails."""
+    """Waits until `check()` is true; fails after `timeout_s`."""
     deadline = time.monotonic() + timeout_s
     while not check():
       if time.monotonic() > deadline:
-        self.fail("not reached in time")
+        self.fail(f"condition not met within {timeout_s} s")
       time.sleep(0.1)
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -1,4 +1,4 @@
-"""What callers of the own interface are told, through real processes."""
+"""Tests of the responses to callers and of the demo, with real processes."""
 
 import os
 import pathlib
@@ -25,10 +25,9 @@
     return httpx.post(url, content=body, headers=headers, timeout=20)
 
   def test_improper_and_hopeless_requests_are_told_so(self):
-    # NaN is no JSON: 400, and not a 500 without a verdict. A request that
-    # the whole budget could never cover gets a final answer, without an
-    # invitation to come back. A key used again for another request is
-    # told from an honest repeat of the first.
+    # NaN is not JSON: status 400, not a 500 without a verdict. A request
+    # larger than the budget's limit gets 402 without Retry-After. An
+    # Idempotency-Key reused for another request gets 422, a retry 409.
     self.start()
     chat = '{"messages": [{"role": "user", "content": "x"}], "max_tokens": %s}'
     nan = (chat % "5").removesuffix("}") + ', "temperature": NaN}'
@@ -47,9 +46,8 @@
     )
 
   def test_hopeless_first_request_of_a_budget_is_told_so(self):
-    # Each router of a fleet that has just started gets one request for far
-    # more than its budget, before anything else was asked of that budget.
-    # Only one of the routers owns it and sees its ledger; all say 402.
+    # The first request for a budget exceeds its limit. Only the owner of the
+    # budget has read its ledger; all routers must respond with 402.
     self.start(routers=3)
     chat = '{"messages": [{"role": "user", "content": "x"}], "max_tokens": %s}'
     for url in self.routers:
@@ -76,8 +74,8 @@
 class DemoTest(fleetcase.FleetCase):
 
   def test_keep_leaves_the_fleet_up_until_interrupted(self):
-    # A newcomer runs the demo with --keep, reads an address and a key, and
-    # tries a request; Ctrl-C ends everything and prints the summary.
+    # With --keep, the demo prints an address and an API key that work, and
+    # runs until Ctrl-C, which stops it and prints the summary.
     root = pathlib.Path(__file__).parent.parent
     demo = subprocess.Popen(
         [
--- a/tests/test_e2e.py
+++ b/tests/test_e2e.py
@@ -1,4 +1,4 @@
-"""The whole path through real processes, driven by the `openai` client."""
+"""End-to-end test with real processes and the `openai` client."""
 
 import anyio
 import testtools
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -1,4 +1,4 @@
-"""Faults through real processes: kills, freezes, partitions, outages."""
+"""Fault injection with real processes: kills, pauses, partitions, outages."""
 
 import signal
 import time
@@ -26,10 +26,9 @@
 class StopTest(fleetcase.FleetCase):
 
   def test_sigterm_lets_open_stream_finish_then_settles(self):
-    # The caller sees its whole answer: SIGTERM arrives while the stream
-    # is open, and again, from an impatient supervisor; the router stops
-    # taking connections, finishes the stream, then returns its grants,
-    # so the ledger holds none afterwards.
+    # SIGTERM arrives twice while a stream is open, as from a supervisor
+    # that repeats it. The router stops accepting connections, completes the
+    # stream and returns its grants: the ledger has none afterwards.
     self.start(tokens_per_s=100.0)
     words = []
     for chunk in self.stream(self.routers[0], 150):
@@ -42,8 +41,8 @@
     self.assertEqual({}, self.ledger()["grants"])
 
   def test_stopping_router_is_not_ready_but_still_serves(self):
-    # The balancer goes on sending callers for a moment after SIGTERM.
-    # They are served; only the readiness says that the router leaves.
+    # The load balancer still sends requests for a moment after SIGTERM.
+    # They are served; only the readiness check fails.
     self.start(lame_duck_s=2.0)
     self.fleet.signal("router-1", signal.SIGTERM)
     time.sleep(0.3)
@@ -52,8 +51,8 @@
     self.assertEqual(3, self.ask(self.routers[0], 3).usage.completion_tokens)
 
   def test_settings_signal_changes_nothing(self):
-    # An operator's tool asks all daemons to read their settings again. By
-    # default that signal ends a process; callers lost their open streams.
+    # Operators' tools send SIGHUP to make daemons reload their settings. Its
+    # default action ends the process, which closed callers' open streams.
     self.start(tokens_per_s=100.0)
     words = []
     for chunk in self.stream(self.routers[0], 50):
@@ -65,9 +64,10 @@
     self.assertIsNone(self.fleet.procs["router-1"].popen.poll())
 
   def test_kill_9_breaks_stream_loudly_and_its_tokens_stay_counted(self):
-    # The caller's stream fails with an error, never ends as if whole:
-    # the router dies mid-stream. What it held, as a grant or as a part
-    # of the other's, stays counted, so the budget is never overspent.
+    # A router is killed during a stream. The stream must fail with an error
+    # instead of ending as if complete. The tokens that the router held, as a
+    # grant or a part of another router's grant, stay counted against the
+    # budget, so that it is never overspent.
     self.start(routers=2, tokens_per_s=100.0, membership=fleetcase.QUICK)
     stream = self.stream(self.routers[0], 150)
     got = 0
@@ -81,7 +81,7 @@
 
     self.assertRaises((openai.APIError, httpx.HTTPError), _read)
     self.assertLess(got, 150)
-    time.sleep(4.0)  # the lease lapses and the grace passes
+    time.sleep(4.0)  # the lease expires and the grace period ends
     self.ask(self.routers[1], 3)
     self.fleet.signal("router-2", signal.SIGTERM)
     self.fleet.procs["router-2"].popen.wait(timeout=15)
@@ -91,9 +91,9 @@
     self.assertGreaterEqual(ledger.headroom(after), 0)
 
   def test_caller_that_leaves_early_leaves_no_tokens_behind(self):
-    # A caller gives up before its stream's first token. Its reservation
-    # ends all the same: were it left in flight, its allotment could never
-    # be settled and the tokens would be lost to the customer.
+    # A caller disconnects before the first token. Its reservation must be
+    # settled: left open, its allotment could never be settled, and the
+    # customer would lose the tokens.
     self.start()
     self.inject("engine-lier-a", stall_s=1.5)
     for stream in (True, False):
@@ -117,8 +117,8 @@
 class OnceTest(fleetcase.FleetCase):
 
   def test_booking_retried_after_router_death_is_not_run_twice(self):
-    # The caller retries a booking on another router after the first
-    # router died: it gets the stored answer, and the service ran once.
+    # The caller retries a booking at another router after the first one was
+    # killed. It gets the stored response; the service ran the call once.
     self.start(routers=2)
     key = uuid.uuid4().hex
     first = self.book(self.routers[0], key)
@@ -129,8 +129,8 @@
     self.assertEqual((1, 0), (stats["executions"], stats["duplicates"]))
 
   def test_failed_booking_may_have_run_and_is_not_sent_again(self):
-    # The service books and then breaks. The caller is told "may have
-    # run", not "not run", and its retry is not sent.
+    # The service makes the booking and then returns 500. The verdict is
+    # "may have run", not "not run", and a retry is not sent to the service.
     self.start()
     self.inject("service", fail_after_run=1)
     key = uuid.uuid4().hex
@@ -141,8 +141,8 @@
     self.assertEqual(1, self.standin_stats("service")["executions"])
 
   def test_engine_that_fails_after_it_ran_is_not_called_not_run(self):
-    # The engine generates, then answers 500. The caller is told "may
-    # have run"; no other engine is asked to generate it again.
+    # The engine generates the response, then returns 500. The verdict is
+    # "may have run"; the request is not retried at another engine.
     self.start(dcs=("lier-a", "lier-b"))
     for name in ("engine-lier-a", "engine-lier-b"):
       self.inject(name, fail_after_run=1)
@@ -157,8 +157,8 @@
     self.assertEqual(1, sum(ran))
 
   def test_chat_retried_with_its_key_is_told_that_it_ran(self):
-    # A label text was generated but its caller lost the answer. The
-    # retry, on another router, is not generated and billed again.
+    # A caller retries a completed request at another router with the same
+    # Idempotency-Key. It is not generated and billed a second time.
     self.start(routers=2)
     header = {"Idempotency-Key": uuid.uuid4().hex}
     self.ask(self.routers[0], 3, extra_headers=header)
@@ -173,8 +173,8 @@
     self.assertEqual(1, self.standin_stats("engine-lier-a")["requests"])
 
   def test_event_of_another_answer_is_not_passed_on(self):
-    # The engine mixes an event of another answer into a stream. The
-    # caller sees an error, and not a word of the other's answer.
+    # The engine sends an event of another response in a stream. The caller
+    # gets an error and no text of the other response.
     self.start()
     self.inject("engine-lier-a", cross_next=1)
     words = []
@@ -190,9 +190,9 @@
 class PartitionTest(fleetcase.FleetCase):
 
   def test_partition_with_top_up_never_overspends(self):
-    # A router cut off from the KV and from its peer serves only from
-    # what it holds, and refuses with "not run" once that is gone; a
-    # top-up made meanwhile is used by the router that reaches the KV.
+    # A router partitioned from the KV and the other router serves only from
+    # the tokens it holds, then rejects requests with "not run". A top-up made
+    # meanwhile is used by the router that reaches the KV.
     self.start(routers=2)
     used = 0
 
@@ -206,26 +206,28 @@
       used += answer.usage.total_tokens
       return "ok"
 
-    cut, whole = self.routers
-    _ask(cut)
+    partitioned, connected = self.routers
+    _ask(partitioned)
     self.inject("kv", blocked=["router-1"])
-    self.fleet.signal("router-2", signal.SIGSTOP)  # the peer's side too
-    # More than the whole budget: the cut router may own it and hold it all.
-    cut_results = [_ask(cut) for _ in range(22)]
+    self.fleet.signal(
+        "router-2", signal.SIGSTOP
+    )  # partitioned from the other router too
+    # More than the whole budget, which the partitioned router may hold.
+    partitioned_results = [_ask(partitioned) for _ in range(22)]
     self.assertLessEqual(used, _SMALL.tokens)
     self.fleet.signal("router-2", signal.SIGCONT)
     change = ledger.TopUp(2000, "t1")
     self.kv_do(lambda kv: ledger.write(kv, _SMALL.name, change))
-    whole_results = [_ask(whole) for _ in range(12)]
+    connected_results = [_ask(connected) for _ in range(12)]
     self.inject("kv", blocked=[])
-    self.assertIn("refused", cut_results)
-    self.assertEqual(["ok"] * 12, whole_results)
+    self.assertIn("refused", partitioned_results)
+    self.assertEqual(["ok"] * 12, connected_results)
     self.assertLessEqual(used, self.ledger(_SMALL.name)["limit"])
 
   def test_router_cut_off_from_kv_draws_on_the_owner(self):
-    # One of two routers loses the KV for long. All budgets go on being
-    # served: those that the other one owns through it, and its own through
-    # the other one as its deputy.
+    # One of two routers is partitioned from the KV for long. It still serves
+    # all budgets: those of the other router through their owner, and its own
+    # through the other router as fallback coordinator.
     self.start(routers=2)
     self.inject("kv", blocked=["router-1"])
     entries = sample.catalogue().entries  # each router owns some of them
@@ -233,10 +235,10 @@
     self.assertEqual([], refused, self.fleet.log("router-1")[-4000:])
 
   def _is_served_soon(self, entry) -> bool:
-    """Asks as a caller does that comes back once when it is told to.
+    """Sends a request, and retries it once after the Retry-After time.
 
-    A call to the other router that takes over `peer_timeout_s` is given up
-    and the request refused, which a busy machine may cause.
+    On a busy machine, a call to the other router may exceed
+    `peer_timeout_s`, and the request is then rejected.
     """
     for _ in range(2):
       try:
@@ -248,10 +250,10 @@
     return False
 
   def test_frozen_router_is_written_off_then_bills_what_it_used(self):
-    # A router is paused past its lease while a stream is open. The other
-    # writes its tokens off, so they stay counted; it wakes unaware,
-    # finishes the stream, and the ledger is exact again: billed once,
-    # nothing lost.
+    # A router is paused beyond its lease while a stream is open. The other
+    # router writes off its tokens, so that they stay counted. When resumed,
+    # the router completes the stream, and the ledger is corrected: the
+    # tokens are billed once and none are lost.
     self.start(routers=2, tokens_per_s=100.0, membership=fleetcase.QUICK)
     words = []
     for chunk in self.stream(self.routers[0], 60):
@@ -274,9 +276,11 @@
     self.assertLessEqual(after["spent"], used)
 
   def test_owner_death_leaves_parts_to_be_settled_in_the_ledger(self):
-    # Both routers draw on a budget; its owner dies. The other settles
-    # its part with the ledger, and its requests are billed.
-    allotment = settings.Allotment(part_term_s=30.0)  # held at the death
+    # Both routers use a budget and its owner is killed. The other settles
+    # its part directly in the ledger, so that its requests are billed.
+    allotment = settings.Allotment(
+        part_term_s=30.0
+    )  # parts are still held at the kill
     self.start(routers=2, membership=fleetcase.QUICK, allotment=allotment)
     for entry in sample.catalogue().entries[:6]:
       for router in self.routers:
@@ -293,9 +297,9 @@
       )
 
   def test_catalogue_change_arrives_after_a_silent_partition(self):
-    # The KV goes silent for a router: no reset, no word. The router must
-    # not wait on its dead watch for ever: once the network heals, a
-    # change made meanwhile is in force within seconds.
+    # The KV becomes unreachable for a router without a connection reset. The
+    # router must detect its dead watch: a catalogue change made during the
+    # partition applies within seconds after it ends.
     self.start(routers=1, membership=fleetcase.QUICK)
     self.inject("kv", blocked=["router-1"], silent=True)
     spec = model.CatalogueSpec(entries=sample.catalogue().entries[:5])
@@ -323,15 +327,15 @@
     return self.standin_stats(leaving)["requests"] - before
 
   def test_leaving_engine_gets_no_new_work_after_lag(self):
-    # No new request reaches an engine a few seconds after the host list
-    # marks it leaving: the router polls the list each tick.
+    # The router polls the host list each tick, so that an engine marked as
+    # leaving gets no new requests shortly afterwards.
     self.start(dcs=("lier-a", "lier-b"))
     self.assertEqual(0, self._new_work_at_leaving_engine())
 
   def test_leaving_engine_gets_no_new_work_while_the_kv_is_slow(self):
-    # The KV takes seconds to answer, and many allotments wait to be
-    # settled there. The host list must still be read each tick: behind
-    # those writes, a leaving engine would go on getting work.
+    # The KV takes seconds to respond while many allotments wait to be
+    # settled. The host list must still be polled each tick: if the poll
+    # waited for those writes, a leaving engine would get new requests.
     self.start(
         dcs=("lier-a", "lier-b"),
         kv_timeout_s=5.0,
@@ -340,7 +344,7 @@
     for entry in sample.catalogue().entries[1:9]:
       self.ask(self.routers[0], 3, entry)
     time.sleep(3.0)
-    self.ask(self.routers[0], 3)  # its allotment outlasts the others'
+    self.ask(self.routers[0], 3)  # its allotment expires after the others
     self.inject("kv", delay_s=3.0)
     time.sleep(1.2)
     self.assertEqual(0, self._new_work_at_leaving_engine())
