--- a/mustardfall/api/bookings.py
+++ b/mustardfall/api/bookings.py
@@ -77,9 +77,7 @@
         headers={replies.REPLAYED_HEADER: "1"},
     )
   return replies.to_response(
-      verdict.may_have_run(
-          "an earlier request with this Idempotency-Key may have run", 409
-      )
+      verdict.may_have_run("an earlier try may have run", 409)
   )
 
 
@@ -110,24 +108,22 @@
       call.release()
       continue
     except (httpx.HTTPError, ValueError) as exc:
-      return verdict.may_have_run(
-          f"call to service {endpoint.name} failed: {exc!r}"
-      )
+      return verdict.may_have_run(f"service {endpoint.name}: {exc!r}")
     if reply.is_success:
       return reply
     if reply.is_client_error and reply.status_code != 429:
       return verdict.not_run(
-          f"service {endpoint.name} rejected the call: {reply.status_code}",
+          f"the service refused it: {reply.status_code}",
           None,
           reply.status_code,
       )
     if reply.status_code not in _NOT_RUN_STATUSES:
       # The service may have failed after it made the booking.
       return verdict.may_have_run(
-          f"service {endpoint.name} failed with status {reply.status_code}"
+          f"service {endpoint.name}: {reply.status_code}"
       )
     endpoint.failures += 1
     call.release()
   return verdict.not_run(
-      "no service accepted this call", router.config.retry_after_s, 503
+      "no service can take this call", router.config.retry_after_s, 503
   )
--- a/mustardfall/api/calls.py
+++ b/mustardfall/api/calls.py
@@ -61,7 +61,7 @@
     known = await router.accounts.look_up(entry.name)
     if known is not None and tokens > known.limit:
       return verdict.not_run(
-          f"request needs {tokens} tokens, the budget's limit is {known.limit}",
+          f"needs {tokens} tokens, the whole budget has {known.limit}",
           None,
           402,
       )
@@ -209,7 +209,7 @@
       self.settle(0, CallResult.NOT_RUN)
       retry_after_s = self.router.config.retry_after_s
       return verdict.not_run(
-          "the key-value service is unavailable: cannot record the call",
+          "cannot record the call",
           retry_after_s,
           503,
       )
--- a/mustardfall/api/chat.py
+++ b/mustardfall/api/chat.py
@@ -82,16 +82,16 @@
     return replies.INVALID_JSON
   messages = body.get("messages")
   if not isinstance(messages, list) or not messages:
-    return verdict.not_run("messages: must be a non-empty list", None, 400)
+    return verdict.not_run("messages: a list is required", None, 400)
   max_tokens = body.get("max_completion_tokens") or body.get("max_tokens")
   max_tokens = (
       router.config.default_max_tokens if max_tokens is None else max_tokens
   )
   if not isinstance(max_tokens, int) or max_tokens < 1:
-    return verdict.not_run("max_tokens: must be a positive integer", None, 400)
+    return verdict.not_run("max_tokens: not a positive number", None, 400)
   choices = body.get("n") or 1
   if choices != 1:
-    return verdict.not_run("n: only 1 choice is supported", None, 400)
+    return verdict.not_run("n: only one choice is served", None, 400)
   options = body.get("stream_options") or {}
   upstream = {k: v for k, v in body.items() if k != "max_completion_tokens"}
   upstream["max_tokens"] = max_tokens
@@ -156,12 +156,8 @@
 
 def _to_verdict(record: idempotency.Record) -> verdict.Verdict:
   if record["state"] == idempotency.State.RAN:
-    return verdict.ran(
-        "a request with this Idempotency-Key ran before; its answer is not kept"
-    )
-  return verdict.may_have_run(
-      "an earlier request with this Idempotency-Key may have run", 409
-  )
+    return verdict.ran("this call ran before; its answer is not kept")
+  return verdict.may_have_run("an earlier try may have run", 409)
 
 
 async def _dispatch(
@@ -188,7 +184,7 @@
     call.release()
   call.settle(0, calls.CallResult.NOT_RUN)
   return verdict.not_run(
-      "no engine accepted this request", router.config.retry_after_s, 503
+      "no engine can take this request now", router.config.retry_after_s, 503
   )
 
 
@@ -218,9 +214,7 @@
   except httpx.HTTPError as exc:
     endpoint.failures += 2
     call.settle(None, calls.CallResult.MAY_HAVE_RUN)
-    return verdict.may_have_run(
-        f"call to engine {endpoint.name} failed: {exc!r}"
-    )
+    return verdict.may_have_run(f"engine {endpoint.name}: {exc!r}")
   if reply.is_success:
     return reply
   await reply.aclose()
@@ -230,14 +224,14 @@
   if reply.is_client_error:
     call.settle(0, calls.CallResult.NOT_RUN)
     return verdict.not_run(
-        f"engine {endpoint.name} rejected the request: {reply.status_code}",
+        f"the engine refused it: {reply.status_code}",
         None,
         reply.status_code,
     )
   endpoint.failures += 2
   call.settle(None, calls.CallResult.MAY_HAVE_RUN)
   return verdict.may_have_run(
-      f"engine {endpoint.name} failed with status {reply.status_code}"
+      f"engine {endpoint.name} failed: {reply.status_code}"
   )
 
 
@@ -252,9 +246,7 @@
     endpoint.failures += 2
     call.settle(None, calls.CallResult.MAY_HAVE_RUN)
     return replies.to_response(
-        verdict.may_have_run(
-            f"invalid response of engine {endpoint.name}: {exc!r}"
-        )
+        verdict.may_have_run(f"engine {endpoint.name} broke off: {exc!r}")
     )
   finally:
     with anyio.CancelScope(shield=True):
@@ -309,6 +301,6 @@
     endpoint.failures += 2
     call.settle(None, calls.CallResult.MAY_HAVE_RUN)
     broken = verdict.may_have_run(
-        f"engine {endpoint.name} did not complete the stream"
+        f"engine {endpoint.name} broke off the stream"
     )
     yield f"data: {json.dumps(verdict.to_body(broken))}\n\n".encode()
