--- a/mustardfall/api/bookings.py
+++ b/mustardfall/api/bookings.py
@@ -63,9 +63,9 @@
     return replies.to_response(sent)
   call.record_first_token()
   call.settle(_TOKENS_PER_BOOKING, calls.CallResult.COMPLETED)
-  to_response = sent.json()
-  await call.record(idempotency.State.DONE, sent.status_code, to_response)
-  return responses.JSONResponse(to_response, status_code=sent.status_code)
+  response_body = sent.json()
+  await call.record(idempotency.State.DONE, sent.status_code, response_body)
+  return responses.JSONResponse(response_body, status_code=sent.status_code)
 
 
 def _replay(record: idempotency.Record) -> responses.Response:
--- a/mustardfall/api/chat.py
+++ b/mustardfall/api/chat.py
@@ -129,7 +129,7 @@
       return opened
     if not chat_request.stream:
       return await _relay_complete(call, opened, chat_request)
-    return _StreamAnswer(call.transfer(), opened, chat_request)
+    return _StreamResponse(call.transfer(), opened, chat_request)
 
 
 async def _claim_and_dispatch(
@@ -259,7 +259,7 @@
   )
 
 
-class _StreamAnswer(responses.StreamingResponse):
+class _StreamResponse(responses.StreamingResponse):
   """Streams an engine's response and closes the call afterwards.
 
   The call is closed in `__call__`, not in the generator: if the caller
