--- a/mustardfall/api/peer.py
+++ b/mustardfall/api/peer.py
@@ -1,6 +1,6 @@
-"""The routers' and operators' API, on a port that callers do not reach.
+"""API for other routers and operators, on a port not open to callers.
 
-The counters and metrics are here because they name every tenant.
+Counters and metrics are served here because they name every customer.
 """
 
 from starlette import applications
@@ -13,18 +13,16 @@
 
 
 def create_app(router: router_lib.Router) -> applications.Starlette:
-  """Returns the ASGI application that other routers call."""
+  """Returns the ASGI application for other routers and operators."""
 
   async def _reserve(request: requests.Request) -> responses.Response:
-    ask = peers.ReserveRequest(**await request.json())
-    handed = await router.pool.owner.serve_part_request(ask)
+    ask = peers.Ask(**await request.json())
+    handed = await router.pool.owner.serve_ask(ask)
     return responses.JSONResponse(handed._asdict())
 
   async def _settle(request: requests.Request) -> responses.Response:
     body = await request.json()
-    router.pool.owner.serve_settle(
-        [peers.EndedPart(**e) for e in body["ended"]]
-    )
+    router.pool.owner.serve_settle([peers.Ended(**e) for e in body["ended"]])
     return responses.JSONResponse({})
 
   async def _recall(request: requests.Request) -> responses.Response:
