--- a/mustardfall/bench/virtual/__init__.py
+++ b/mustardfall/bench/virtual/__init__.py
@@ -1,7 +1,7 @@
-"""Days of a router fleet's budgets in virtual time, on the real code.
+"""Discrete-event simulation of a router fleet, in virtual time.
 
-Routers, each with its real pool, writer and membership, draw on budgets
-through a store and a network that live in this process. The event loop's
-clock jumps to the next thing that is due, so a day of fifty seconds takes
-about one, and a seed repeats it exactly.
+The simulated routers run the production pool, writer and membership code
+against a store and a network that are modelled in this process. The event
+loop's clock jumps to the next scheduled event, so a simulated day of fifty
+seconds takes about one second, and the same seed gives the same result.
 """
--- a/mustardfall/bench/virtual/days.py
+++ b/mustardfall/bench/virtual/days.py
@@ -1,9 +1,9 @@
-"""Days: who draws how much on which budget, and what fails when.
+"""Simulated days: the traffic on each budget and the schedule of faults.
 
-`draw` makes one from a seed, of the kinds that the users' deployments have:
-many hosts or all lose the store twice, for some eight seconds, while they
-still reach each other, and on most days all lose power or are killed near the
-end.
+`draw` generates a day from a seed, with the faults of the users' deployments.
+Twice a day, many or all hosts cannot reach the store for about eight seconds,
+while they still reach each other. On most days all hosts lose power or all
+routers are killed near the end.
 """
 
 import pathlib
@@ -13,81 +13,85 @@
 import pydantic
 import yaml
 
-_REQUESTS_S = 29.0
-"""Generations a second: 17.1 summaries and 11.6 queries."""
-_TRAFFIC_S = 52.0
-"""Traffic goes on through the recovery."""
-_SPARE = 1.3
-_PAID_S = 34.0
-"""Budgets are so many times what is usually asked of them in this time."""
-_SHARES = (19, 17, 11, 9, 6, 5.5, 5, 3.5, 3, 3)
-"""Weights of the teams, a few of them large."""
-_STEADY = 3
-"""Teams all of whose callers come through one host."""
+_REQUESTS_PER_S = 29.0
+"""Requests per second: 17.1 summaries and 11.6 queries."""
+_TRAFFIC_DURATION_S = 52.0
+"""Duration of the traffic; it continues while the fleet recovers."""
+_BUDGET_FACTOR = 1.3
+_BUDGET_WINDOW_S = 34.0
+"""A budget's limit is `_BUDGET_FACTOR` times the tokens that its team usually
+requests in this time."""
+_TEAM_WEIGHTS = (19, 17, 11, 9, 6, 5.5, 5, 3.5, 3, 3)
+"""Relative traffic of the teams, a few of which are large."""
+_SINGLE_HOST_TEAMS = 3
+"""Number of teams whose callers all use the same host."""
 _HOSTS = tuple(f"host-{number}" for number in range(8))
 
 
-class _Base(pydantic.BaseModel):
+class _BaseEvent(pydantic.BaseModel):
   model_config = pydantic.ConfigDict(extra="forbid", frozen=True)
   at_s: float
   for_s: float = 0.0
 
 
-class _Some(_Base):
-  """Befalls some hosts, drawn anew unless they are named."""
+class _HostEvent(_BaseEvent):
+  """An event on a share of the hosts, drawn at random unless they are named."""
 
   share: float = 1.0
   hosts: tuple[str, ...] = ()
 
 
-class Cut(_Some):
-  """Hosts lose their way to the store, and maybe to each other."""
+class Partition(_HostEvent):
+  """Hosts cannot reach the store and, with `peers`, any other host."""
 
   kind: Literal["cut"] = "cut"
   peers: bool = False
 
 
-class Refused(_Some):
-  """The store turns some hosts away and serves the others."""
+class StoreRefusal(_HostEvent):
+  """The store refuses the calls of some hosts and serves the others."""
 
   kind: Literal["refused"] = "refused"
 
 
-class Outage(_Base):
-  """The store is silent, turns all away, is slow or loses answers."""
+class StoreOutage(_BaseEvent):
+  """The store is unresponsive, refuses all calls, is slow or loses replies."""
 
   kind: Literal["outage"] = "outage"
   how: Literal["silent", "busy", "slow", "lost"]
   x: float = 1.0
-  """Times as slow, or the share of answers lost."""
+  """For "slow" the factor on latency, for "lost" the share of replies lost."""
   late_s: float = 0.0
-  """Lost writes are done so much later, at most."""
+  """Maximum delay after which a write whose reply is lost is applied."""
 
 
-class Kill(_Some):
-  """Routers die and start again after `for_s`."""
+class Kill(_HostEvent):
+  """Routers are killed, and started again after `for_s`.
+
+  With `power`, their hosts lose power.
+  """
 
   kind: Literal["kill"] = "kill"
   power: bool = False
 
 
-class Roll(_Some):
-  """Routers stop in good order and start again, one after the other."""
+class RollingRestart(_HostEvent):
+  """Routers shut down gracefully and start again, one after the other."""
 
   kind: Literal["roll"] = "roll"
   gap_s: float = 2.0
 
 
-class Hot(_Base):
-  """One team sends `x` times its usual; `rank` 1 is the largest."""
+class TrafficBurst(_BaseEvent):
+  """One team sends `x` times its usual traffic; `rank` 1 is the largest."""
 
   kind: Literal["hot"] = "hot"
   rank: int
   x: float
 
 
-class TopUp(_Base):
-  """A budget's limit is raised to `x` times of what it was."""
+class LimitIncrease(_BaseEvent):
+  """The limit of a team's budget is multiplied by `x`."""
 
   kind: Literal["top up"] = "top up"
   rank: int
@@ -95,23 +99,29 @@
 
 
 Event = Annotated[
-    Cut | Refused | Outage | Kill | Roll | Hot | TopUp,
+    Partition
+    | StoreRefusal
+    | StoreOutage
+    | Kill
+    | RollingRestart
+    | TrafficBurst
+    | LimitIncrease,
     pydantic.Field(discriminator="kind"),
 ]
 
 
 class Day(pydantic.BaseModel):
-  """One day; its requests are drawn from the seed with which it is played."""
+  """One simulated day; the simulation's seed determines its requests."""
 
   model_config = pydantic.ConfigDict(extra="forbid", frozen=True)
   name: str
   hosts: tuple[str, ...] = _HOSTS
-  traffic_s: float = _TRAFFIC_S
-  requests_s: float = _REQUESTS_S
-  spare: float = _SPARE
-  paid_s: float = _PAID_S
-  shares: tuple[float, ...] = _SHARES
-  steady: int = _STEADY
+  traffic_s: float = _TRAFFIC_DURATION_S
+  requests_s: float = _REQUESTS_PER_S
+  spare: float = _BUDGET_FACTOR
+  paid_s: float = _BUDGET_WINDOW_S
+  shares: tuple[float, ...] = _TEAM_WEIGHTS
+  steady: int = _SINGLE_HOST_TEAMS
   events: list[Event] = []
 
 
@@ -119,23 +129,25 @@
   """Reads days from a YAML file.
 
   Raises:
-    pydantic.ValidationError: a day makes no sense.
+    pydantic.ValidationError: a day does not match the schema.
   """
   return [Day.model_validate(raw) for raw in yaml.safe_load(path.read_text())]
 
 
 def draw(seed: int) -> Day:
-  """Returns a day with the troubles that the seed draws."""
+  """Returns a day whose faults are drawn at random from `seed`."""
   rng = random.Random(f"day {seed}")
   events: list[Event] = [
-      _cut(rng, rng.uniform(1.0, 8.0)),
-      _cut(rng, rng.uniform(22.0, 26.0)),
-      TopUp(at_s=16.0, rank=rng.randint(1, 10)),
-      TopUp(at_s=21.0, rank=rng.randint(1, 10)),
-      Hot(at_s=16.0, for_s=6.0, rank=rng.randint(1, 4), x=rng.uniform(2, 3)),
+      _partition(rng, rng.uniform(1.0, 8.0)),
+      _partition(rng, rng.uniform(22.0, 26.0)),
+      LimitIncrease(at_s=16.0, rank=rng.randint(1, 10)),
+      LimitIncrease(at_s=21.0, rank=rng.randint(1, 10)),
+      TrafficBurst(
+          at_s=16.0, for_s=6.0, rank=rng.randint(1, 4), x=rng.uniform(2, 3)
+      ),
   ]
-  for make in rng.sample(_TROUBLES, rng.randint(1, 3)):
-    events.append(make(rng, rng.uniform(0.5, 30.0)))
+  for make_event in rng.sample(_FAULT_FACTORIES, rng.randint(1, 3)):
+    events.append(make_event(rng, rng.uniform(0.5, 30.0)))
   if rng.random() < 0.85:
     power = rng.random() < 0.5
     down_s = rng.uniform(0.5, 1.6)
@@ -144,22 +156,22 @@
   return Day(name=f"seed {seed}", events=events)
 
 
-def _cut(rng: random.Random, at_s: float) -> Cut:
+def _partition(rng: random.Random, at_s: float) -> Partition:
   share = rng.choice((0.35, 0.75, 1.0, 1.0))
-  return Cut(at_s=at_s, for_s=rng.uniform(7.0, 9.0), share=share)
+  return Partition(at_s=at_s, for_s=rng.uniform(7.0, 9.0), share=share)
 
 
-def _refused(rng: random.Random, at_s: float) -> Refused:
-  return Refused(at_s=at_s, for_s=rng.uniform(8.0, 9.0), share=0.35)
+def _store_refusal(rng: random.Random, at_s: float) -> StoreRefusal:
+  return StoreRefusal(at_s=at_s, for_s=rng.uniform(8.0, 9.0), share=0.35)
 
 
-def _apart(rng: random.Random, at_s: float) -> Cut:
-  """Hosts that reach neither the store nor each other."""
+def _isolation(rng: random.Random, at_s: float) -> Partition:
+  """Isolates hosts from the store and from each other."""
   for_s = rng.uniform(4.0, 5.5)
-  return Cut(at_s=at_s, for_s=for_s, share=0.25, peers=True)
+  return Partition(at_s=at_s, for_s=for_s, share=0.25, peers=True)
 
 
-def _outage(rng: random.Random, at_s: float) -> Outage:
+def _store_outage(rng: random.Random, at_s: float) -> StoreOutage:
   how, x, late_s = rng.choice(
       (
           ("silent", 1.0, 0.0),
@@ -170,7 +182,7 @@
       )
   )
   for_s = rng.uniform(3.0, 5.0)
-  return Outage(at_s=at_s, for_s=for_s, how=how, x=x, late_s=late_s)
+  return StoreOutage(at_s=at_s, for_s=for_s, how=how, x=x, late_s=late_s)
 
 
 def _kill(rng: random.Random, at_s: float) -> Kill:
@@ -179,9 +191,17 @@
   return Kill(at_s=at_s, for_s=rng.uniform(2.0, 3.5), share=share, power=power)
 
 
-def _roll(rng: random.Random, at_s: float) -> Roll:
+def _rolling_restart(rng: random.Random, at_s: float) -> RollingRestart:
   gap_s = rng.uniform(1.0, 2.0)
-  return Roll(at_s=min(at_s, 18.0), for_s=2.6, share=1.0, gap_s=gap_s)
-
-
-_TROUBLES = (_refused, _apart, _outage, _outage, _kill, _kill, _roll)
+  return RollingRestart(at_s=min(at_s, 18.0), for_s=2.6, share=1.0, gap_s=gap_s)
+
+
+_FAULT_FACTORIES = (
+    _store_refusal,
+    _isolation,
+    _store_outage,
+    _store_outage,
+    _kill,
+    _kill,
+    _rolling_restart,
+)
--- a/mustardfall/bench/virtual/hosts.py
+++ b/mustardfall/bench/virtual/hosts.py
@@ -1,4 +1,4 @@
-"""Router hosts: each runs one life of a router's accounts at a time."""
+"""Simulated hosts, each of which runs at most one router process."""
 
 import random
 
@@ -18,22 +18,23 @@
 from mustardfall.membership import clockcheck
 from mustardfall.membership import peers
 
-_STOP_S = 0.7
-"""What a stopping router keeps for handing its budgets back."""
-_DRAIN_S = 7.0
-"""What it leaves its requests at most."""
-_DRAIN_STEP_S = 0.1
-START_S = 0.5
-"""From switching a host on, or starting a process, to a router's first
+_HAND_BACK_TIMEOUT_S = 0.7
+"""Time limit for a stopping router to return its tokens to the ledgers."""
+_DRAIN_TIMEOUT_S = 7.0
+"""Time limit for requests in flight to end when a router stops."""
+_DRAIN_POLL_S = 0.1
+STARTUP_S = 0.5
+"""Time from powering a host on, or starting a process, to the router's first
 decision."""
-_MOST_UPTIME_S = 100_000.0
-"""A boot clock that starts anew need not start at zero."""
+_MAX_UPTIME_S = 100_000.0
+"""Maximum uptime of a host after a power loss; its boot clock does not have to
+restart at zero."""
 _ENDPOINTS = "endpoints/"
-"""Prefix of the entries that a router's follower reads."""
-_FOLLOW_S = 1.0
-_FOLLOW_AGAIN_S = 0.3
-"""Pauses of the loop that reads a document of the store now and then, and so
-finds out when it is back."""
+"""Prefix of the keys that a router polls for the list of endpoints."""
+_POLL_S = 1.0
+_POLL_RETRY_S = 0.3
+"""Pauses between polls after a success and after a failure. Polling also
+detects that the store is reachable again."""
 
 
 class Fleet:
@@ -42,8 +43,8 @@
   Args:
     config: settings of a router; names and addresses are set per host.
     names: the hosts' names.
-    seed: of all that is drawn here.
-    tasks: where the hosts run.
+    seed: of the random numbers of the hosts and their clients.
+    tasks: task group in which the hosts run.
   """
 
   def __init__(
@@ -57,7 +58,7 @@
     self.network = network_lib.Network()
     self.store = store_lib.Store()
     self.limits: dict[str, ledger.Limit] = {}
-    """What the operators have set, whether a host has heard of it or not."""
+    """Limits that the operators have set; a host may not know them yet."""
     self.rng = random.Random(seed)
     self.tasks = tasks
     self.hosts = {name: Host(self, name) for name in names}
@@ -72,12 +73,12 @@
         caller, called.name, called.accounts is not None, timeout_s
     )
     if called.accounts is None:
-      raise errors.PeerUnavailableError("it died")
+      raise errors.PeerUnavailableError(f"{called.name} died during the call")
     answer = {}
     with anyio.move_on_after(timeout_s) as scope:
       answer = await _serve(called.accounts, f"/{path}", body)
     if scope.cancelled_caught:
-      raise errors.PeerUnavailableError("no answer")
+      raise errors.PeerUnavailableError(f"no answer from {called.name}")
     return answer
 
 
@@ -97,10 +98,10 @@
 
 
 class Host:
-  """A host and, while it is up, its router's accounts.
+  """A host and, while its router runs, that router's accounts.
 
   Args:
-    fleet: the hosts it is one of.
+    fleet: the fleet that it belongs to.
     name: its name.
   """
 
@@ -111,14 +112,14 @@
     self.accounts: accounts_lib.Accounts | None = None
     self.reserver: reserving.Reserver | None = None
     self.serving = False
-    """Whether callers' new requests reach it."""
+    """Whether the router accepts new requests."""
     self.in_flight = 0
     self._limits: dict[str, ledger.Limit] = {}
     self._scope: anyio.CancelScope | None = None
     self._client: store_lib.Client | None = None
 
   def start(self) -> None:
-    """Starts the next life."""
+    """Starts a new router process."""
     self._fleet.tasks.start_soon(self._run)
 
   async def _run(self) -> None:
@@ -153,24 +154,24 @@
           *accounts.loops(),
           accounts.members.follow,
           self._tick,
-          self._follow,
+          self._poll_store,
       ):
         tasks.start_soon(
-            accounts_lib.supervise, loop, config.tick_s, _raise_again
+            accounts_lib.supervise, loop, config.tick_s, _fail_simulation
         )
       self.accounts = accounts
       wait_s = config.proxy.reserve_s
       self.reserver = reserving.Reserver(accounts.pool, tasks, wait_s)
       self.serving = True
 
-  async def _follow(self) -> None:
-    """Reads the store as the routers' followers of documents do."""
+  async def _poll_store(self) -> None:
+    """Polls the store as a router does for its shared documents."""
     while True:
-      pause_s = _FOLLOW_S
+      pause_s = _POLL_S
       try:
         await self._client.get_prefix(_ENDPOINTS)
       except (errors.KvUnavailableError, errors.KvUnknownError):
-        pause_s = _FOLLOW_AGAIN_S
+        pause_s = _POLL_RETRY_S
       await anyio.sleep(pause_s)
 
   async def _tick(self) -> None:
@@ -180,12 +181,12 @@
       now = self.clock.monotonic()
       if self.accounts is None:
         continue
-      self._hear()
+      self._apply_limits()
       self.accounts.pool.tick(now - last)
       last = now
 
-  def _hear(self) -> None:
-    """Takes limits in that the operators have changed."""
+  def _apply_limits(self) -> None:
+    """Applies the operators' changes to limits, if the store is reachable."""
     if not self._fleet.network.reaches_store(self.name):
       return
     for budget, limit in self._fleet.limits.items():
@@ -194,44 +195,44 @@
       if limit.tokens < before.tokens:
         self.accounts.pool.retire(budget)
 
-  def kill(self, power: bool) -> None:
-    """Ends the life at once, unheard."""
+  def kill(self, power_loss: bool) -> None:
+    """Kills the router process without a shutdown, and cuts power on request."""
     self.serving = False
     self.in_flight = 0
     self.accounts = None
-    if power:
+    if power_loss:
       self._fleet.network.powered_off.add(self.name)
     if self._scope is not None:
       self._scope.cancel()
       self._scope = None
 
-  def restart(self, power: bool) -> None:
-    """Starts a life after `kill`; after a loss of power clocks are new."""
-    if power:
+  def restart(self, power_loss: bool) -> None:
+    """Starts the router after `kill`; a power loss resets the boot clock."""
+    if power_loss:
       self._fleet.network.powered_off.discard(self.name)
-      step_s = self.clock.step_s
-      uptime_s = self._fleet.rng.uniform(0.0, _MOST_UPTIME_S)
+      wall_offset_s = self.clock.wall_offset_s
+      uptime_s = self._fleet.rng.uniform(0.0, _MAX_UPTIME_S)
       self.clock = loop_lib.Clock(self.clock.monotonic() - uptime_s)
-      self.clock.step_s = step_s
+      self.clock.wall_offset_s = wall_offset_s
     self.start()
 
   async def stop(self) -> None:
-    """Ends the life in good order: hands everything back, then exits."""
+    """Shuts down gracefully: drains requests, returns tokens, then exits."""
     self.serving = False
     accounts = self.accounts
     if accounts is None:
       return
-    with anyio.move_on_after(_DRAIN_S):
+    with anyio.move_on_after(_DRAIN_TIMEOUT_S):
       while self.in_flight:
-        await anyio.sleep(_DRAIN_STEP_S)
+        await anyio.sleep(_DRAIN_POLL_S)
     if self.accounts is not accounts:
-      return  # killed meanwhile
-    with anyio.move_on_after(_STOP_S):
+      return  # The router was killed while it drained.
+    with anyio.move_on_after(_HAND_BACK_TIMEOUT_S):
       await accounts.hand_back()
-      await accounts.writer.flush(_STOP_S)
-    self.kill(power=False)
+      await accounts.writer.flush(_HAND_BACK_TIMEOUT_S)
+    self.kill(power_loss=False)
 
 
-def _raise_again() -> None:
-  """Lets a fault in a loop end the day: here it is a fault to be found."""
-  raise RuntimeError("a router's loop failed")
+def _fail_simulation() -> None:
+  """Fails the simulation, so that an exception in a router's loop is noticed."""
+  raise RuntimeError("a background loop of a simulated router failed")
--- a/mustardfall/bench/virtual/play.py
+++ b/mustardfall/bench/virtual/play.py
@@ -1,4 +1,4 @@
-"""Plays one day and tells what became of its requests and tokens."""
+"""Simulates one day and reports what happened to its requests and tokens."""
 
 import collections
 import logging
@@ -17,58 +17,60 @@
 from mustardfall.budget import ledger
 from mustardfall.kv import change
 
-_LEAD_S = 3.0
-"""Hosts are up so long before the first request."""
-_END_S = 3.0
-"""After the last request, for what is still on its way."""
-_OWED_SHARE = 0.97
-"""A request that fits into this part of a budget's limit is owed."""
+_WARM_UP_S = 3.0
+"""Time between the start of the hosts and the first request."""
+_COOL_DOWN_S = 3.0
+"""Time after the end of the traffic for requests in flight to finish."""
+_COVERED_SHARE = 0.97
+"""A budget covers a request if usage stays below this share of the limit."""
 _NO_ROUTER = "no router"
-"""Why a request got no answer while no router was up; no policy helps it."""
-_ELSEWHERE_S = 0.1
-"""After no connection could be made, a caller tries another host."""
+"""Cause of a failed request while no router was up. It is counted separately,
+as no budget policy can prevent it."""
+_FAILOVER_S = 0.1
+"""Time after which a caller that could not connect tries another host."""
 
 
 class Result(NamedTuple):
-  """What came of a day."""
+  """The outcome of a simulated day."""
 
   requests: int
   unserved: int
-  """Came while no router was up."""
+  """Requests that failed as no router was up."""
   refused: int
-  """Refused for good, owed or not."""
+  """Requests refused finally, whether or not their budget covered them."""
   falsely: int
-  """Of those, the ones that their budget covered."""
+  """Refused requests that their budget covered."""
   falsely_cut: int
-  """Of those, the ones refused while a host was cut off or the store away."""
+  """Falsely refused requests while a network or store fault was active."""
   turned_back: int
-  """Refusals, with those of callers that came back."""
+  """Refused attempts, including those that were retried."""
   lost: float
-  """Tokens that nobody can use any more, over all limits."""
+  """Tokens that no router can use any more, as a share of all limits."""
   overspend: int
+  """Largest excess of a budget's used and reserved tokens over its limit."""
   calls: dict[str, int]
-  """Calls to the store by kind."""
+  """Number of calls to the store, by kind."""
   seconds: dict[int, int]
-  """False refusals by second."""
+  """False refusals by second of the day."""
   causes: dict[str, int]
-  """False refusals by where the budget's tokens were then."""
+  """False refusals by the place where the budget's tokens were at that time."""
 
 
-class _Budget:
-  """The truth about one budget."""
+class _BudgetUsage:
+  """The actual usage of one budget, independent of what routers know."""
 
   def __init__(self, limit: int) -> None:
     self.limit = limit
     self.used = 0
     self.in_flight = 0
 
-  def owes(self, tokens: int) -> bool:
-    left = self.limit * _OWED_SHARE - self.used - self.in_flight
+  def covers(self, tokens: int) -> bool:
+    left = self.limit * _COVERED_SHARE - self.used - self.in_flight
     return tokens <= left
 
 
-class _Day:
-  """A day being played."""
+class _Simulation:
+  """The state of one simulation."""
 
   def __init__(self, day: days.Day, config: settings.Router, seed: int) -> None:
     self._day = day
@@ -77,13 +79,15 @@
     self._seed = seed
     self._plan = traffic.plan(day, seed)
     self._budgets = {
-        team: _Budget(limit) for team, limit in self._plan.limits.items()
+        team: _BudgetUsage(limit) for team, limit in self._plan.limits.items()
     }
     self._counts: collections.Counter[str] = collections.Counter()
-    self._seconds: collections.Counter[int] = collections.Counter()
-    self._causes: collections.Counter[str] = collections.Counter()
+    self._false_refusals_by_s: collections.Counter[int] = collections.Counter()
+    self._false_refusals_by_cause: collections.Counter[str] = (
+        collections.Counter()
+    )
     self._overspend = 0
-    self._troubles = 0
+    self._active_faults = 0
     self._fleet: hosts_lib.Fleet = None
 
   async def run(self) -> Result:
@@ -94,53 +98,53 @@
         self._fleet.limits[team] = ledger.Limit(budget.limit, 1)
       for host in self._fleet.hosts.values():
         host.start()
-      await anyio.sleep(_LEAD_S)
-      self._began = anyio.current_time()
+      await anyio.sleep(_WARM_UP_S)
+      self._traffic_start_s = anyio.current_time()
       for event in self._day.events:
-        tasks.start_soon(self._befall, event)
+        tasks.start_soon(self._apply_event, event)
       for request in self._plan.requests:
-        tasks.start_soon(self._call, request, tasks)
-      await anyio.sleep(self._day.traffic_s + _END_S)
+        tasks.start_soon(self._send, request, tasks)
+      await anyio.sleep(self._day.traffic_s + _COOL_DOWN_S)
       result = self._result()
       tasks.cancel_scope.cancel()
     return result
 
-  async def _until(self, at_s: float) -> None:
-    await anyio.sleep_until(self._began + at_s)
+  async def _wait_until(self, at_s: float) -> None:
+    await anyio.sleep_until(self._traffic_start_s + at_s)
 
-  # Callers.
+  # Callers
 
-  async def _call(self, request: traffic.Request, tasks: abc.TaskGroup) -> None:
-    await self._until(request.at_s)
+  async def _send(self, request: traffic.Request, tasks: abc.TaskGroup) -> None:
+    await self._wait_until(request.at_s)
     budget = self._budgets[request.team]
-    owed = budget.owes(request.tokens)
+    covered = budget.covers(request.max_tokens)
     self._counts["requests"] += 1
-    patience_s = request.patience_s
-    host, retry_s = self._pick(request.host), 0.0
+    timeout_s = request.timeout_s
+    host, retry_s = self._choose_host(request.host), 0.0
     for attempt in range(2):
       began = anyio.current_time()
-      if await self._try(host, request, budget):
+      if await self._try_host(host, request, budget):
         return
-      cause = self._cause(host, request)
+      cause = self._refusal_cause(host, request)
       self._counts["turned back"] += 1
-      patience_s -= anyio.current_time() - began
-      retry_s = self._retry_after_s(host, request, patience_s)
+      timeout_s -= anyio.current_time() - began
+      retry_s = self._retry_after_s(host, request, timeout_s)
       if attempt or retry_s is None:
         break
       await anyio.sleep(retry_s)
-      patience_s -= retry_s
-      host = self._pick(None, avoid=host)
+      timeout_s -= retry_s
+      host = self._choose_host(None, avoid=host)
     if cause == _NO_ROUTER:
       self._counts["no router"] += 1
       return
     self._counts["refused"] += 1
-    if owed:
-      self._causes[cause] += 1
+    if covered:
+      self._false_refusals_by_cause[cause] += 1
       self._counts["falsely"] += 1
-      self._counts["falsely cut"] += bool(self._troubles)
-      self._seconds[int(request.at_s)] += 1
+      self._counts["falsely cut"] += bool(self._active_faults)
+      self._false_refusals_by_s[int(request.at_s)] += 1
 
-  def _pick(
+  def _choose_host(
       self, wanted: str | None, avoid: hosts_lib.Host | None = None
   ) -> hosts_lib.Host | None:
     hosts = self._fleet.hosts
@@ -149,49 +153,49 @@
     up = [host for host in hosts.values() if host.serving and host is not avoid]
     return self._rng.choice(up) if up else None
 
-  async def _try(
+  async def _try_host(
       self,
       host: hosts_lib.Host | None,
       request: traffic.Request,
-      budget: _Budget,
+      budget: _BudgetUsage,
   ) -> bool:
     """Returns whether the request ran."""
     if host is None or not host.serving:
-      await anyio.sleep(_ELSEWHERE_S)
+      await anyio.sleep(_FAILOVER_S)
       return False
     accounts, reserver = host.accounts, host.reserver
-    found = await reserver.reserve(request.team, request.tokens)
+    found = await reserver.reserve(request.team, request.max_tokens)
     if found is None or host.accounts is not accounts:
       return False
-    budget.in_flight += request.tokens
+    budget.in_flight += request.max_tokens
     over = budget.used + budget.in_flight - budget.limit
     self._overspend = max(self._overspend, over)
     host.in_flight += 1
-    await anyio.sleep(request.run_s)
-    budget.in_flight -= request.tokens
+    await anyio.sleep(request.duration_s)
+    budget.in_flight -= request.max_tokens
     if host.accounts is not accounts:
-      # Whatever the dead router passed on was generated.
-      budget.used += request.tokens
+      # The engine completed the requests that the dead router had forwarded.
+      budget.used += request.max_tokens
       return True
     host.in_flight -= 1
-    budget.used += request.used
-    accounts.pool.settle(found, request.used)
+    budget.used += request.used_tokens
+    accounts.pool.settle(found, request.used_tokens)
     return True
 
-  def _cause(
+  def _refusal_cause(
       self, host: hosts_lib.Host | None, request: traffic.Request
   ) -> str:
-    """Returns where the tokens lay that a refused request needed."""
+    """Returns where the tokens were that a refused request needed."""
     if host is None or host.accounts is None:
       return _NO_ROUTER
-    team, tokens = request.team, request.tokens
+    team, tokens = request.team, request.max_tokens
     network = self._fleet.network
-    away = not network.reaches_store(host.name)
-    away = away or network.is_refused(host.name)
+    cut_off = not network.reaches_store(host.name)
+    cut_off = cut_off or network.is_refused(host.name)
     where = host.accounts.pool.known.whereabouts(team)
-    if away and where is not None and where.idle >= tokens:
+    if cut_off and where is not None and where.idle >= tokens:
       return "cut off: promise too low"
-    if away:
+    if cut_off:
       return "cut off: too few held"
     record = self._fleet.store.records.get(ledger.key(team))
     if record is None:
@@ -199,14 +203,14 @@
     found = change.decode(record.value)
     if ledger.headroom(found) - found["limit"] * 0.01 >= tokens:
       return "in the ledger"
-    lives = {
+    live_ids = {
         h.accounts.members.me.life
         for h in self._fleet.hosts.values()
         if h.accounts is not None
     }
     living = dead = 0
     for gid, held in found["grants"].items():
-      if ledger.holder(gid) in lives:
+      if ledger.holder(gid) in live_ids:
         living += held
       else:
         dead += held
@@ -218,102 +222,104 @@
       self,
       host: hosts_lib.Host | None,
       request: traffic.Request,
-      patience_s: float,
+      timeout_s: float,
   ) -> float | None:
-    """Returns when a refused caller returns, None: not at all."""
+    """Returns the delay before a refused caller retries, or None if it does not."""
     if host is None or host.accounts is None:
-      return _ELSEWHERE_S
+      return _FAILOVER_S
     accounts = host.accounts
-    if accounts.pool.known.is_exhausted(request.team, request.tokens):
+    if accounts.pool.known.is_exhausted(request.team, request.max_tokens):
       return None
-    wait_s = comeback.most_s(accounts.store_away, patience_s)
+    wait_s = comeback.most_s(accounts.store_away, timeout_s)
     wait_s *= self._rng.uniform(0.5, 1.0)
-    return wait_s if wait_s < patience_s / 3 else None
+    return wait_s if wait_s < timeout_s / 3 else None
 
-  # Troubles.
+  # Events
 
-  async def _befall(self, event: days.Event) -> None:
-    await self._until(event.at_s)
+  async def _apply_event(self, event: days.Event) -> None:
+    await self._wait_until(event.at_s)
     network = self._fleet.network
-    if isinstance(event, days.TopUp):
-      self._top_up(event)
-    elif isinstance(event, days.Cut):
-      peers = [network.from_peers] if event.peers else []
-      await self._while(event, [network.from_store, *peers])
-    elif isinstance(event, days.Refused):
-      await self._while(event, [network.refused])
-    elif isinstance(event, days.Outage):
-      await self._outage(event)
+    if isinstance(event, days.LimitIncrease):
+      self._increase_limit(event)
+    elif isinstance(event, days.Partition):
+      peers = [network.cut_from_peers] if event.peers else []
+      await self._apply_fault(event, [network.cut_from_store, *peers])
+    elif isinstance(event, days.StoreRefusal):
+      await self._apply_fault(event, [network.refused_by_store])
+    elif isinstance(event, days.StoreOutage):
+      await self._apply_outage(event)
     elif isinstance(event, days.Kill):
       await self._kill(event)
-    elif isinstance(event, days.Roll):
-      await self._roll(event)
+    elif isinstance(event, days.RollingRestart):
+      await self._rolling_restart(event)
 
-  def _top_up(self, event: days.TopUp) -> None:
-    team = self._plan.ranked[event.rank - 1]
+  def _increase_limit(self, event: days.LimitIncrease) -> None:
+    team = self._plan.teams_by_size[event.rank - 1]
     budget = self._budgets[team]
     budget.limit = int(budget.limit * event.x)
     version = self._fleet.limits[team].version + 1
     self._fleet.limits[team] = ledger.Limit(budget.limit, version)
 
-  def _some(self, event) -> list[hosts_lib.Host]:
+  def _select_hosts(self, event) -> list[hosts_lib.Host]:
     names = event.hosts or self._rng.sample(
         self._day.hosts, max(1, round(event.share * len(self._day.hosts)))
     )
     return [self._fleet.hosts[name] for name in names]
 
-  async def _while(
+  async def _apply_fault(
       self, event, counters: list[collections.Counter[str]]
   ) -> None:
-    struck = self._some(event)
-    self._troubles += 1
+    affected = self._select_hosts(event)
+    self._active_faults += 1
     for counter in counters:
-      counter.update(host.name for host in struck)
+      counter.update(host.name for host in affected)
     await anyio.sleep(event.for_s)
     for counter in counters:
-      counter.subtract(host.name for host in struck)
-    self._troubles -= 1
+      counter.subtract(host.name for host in affected)
+    self._active_faults -= 1
 
-  async def _outage(self, event: days.Outage) -> None:
+  async def _apply_outage(self, event: days.StoreOutage) -> None:
     network = self._fleet.network
-    self._troubles += 1
+    self._active_faults += 1
     if event.how == "slow":
-      network.slow_x = event.x
+      network.latency_factor = event.x
     elif event.how == "lost":
-      network.lose, network.late_s = event.x, event.late_s
+      network.lost_write_share, network.max_late_s = event.x, event.late_s
     else:
       setattr(network, event.how, getattr(network, event.how) + 1)
     await anyio.sleep(event.for_s)
     if event.how == "slow":
-      network.slow_x = 1.0
+      network.latency_factor = 1.0
     elif event.how == "lost":
-      network.lose = 0.0
+      network.lost_write_share = 0.0
     else:
       setattr(network, event.how, getattr(network, event.how) - 1)
-    self._troubles -= 1
+    self._active_faults -= 1
 
   async def _kill(self, event: days.Kill) -> None:
-    struck = [host for host in self._some(event) if host.accounts is not None]
-    for host in struck:
+    affected = [
+        host for host in self._select_hosts(event) if host.accounts is not None
+    ]
+    for host in affected:
       host.kill(event.power)
-    await anyio.sleep(event.for_s + hosts_lib.START_S)
-    for host in struck:
+    await anyio.sleep(event.for_s + hosts_lib.STARTUP_S)
+    for host in affected:
       if host.accounts is None:
         host.restart(event.power)
 
-  async def _roll(self, event: days.Roll) -> None:
-    for host in self._some(event):
+  async def _rolling_restart(self, event: days.RollingRestart) -> None:
+    for host in self._select_hosts(event):
       if host.accounts is not None:
         await host.stop()
         await anyio.sleep(event.for_s)
         if host.accounts is None:
-          host.restart(power=False)
+          host.restart(power_loss=False)
       await anyio.sleep(event.gap_s)
 
-  # The end.
+  # Results
 
   def _result(self) -> Result:
-    lost = sum(self._lost(team) for team in self._budgets)
+    lost = sum(self._lost_tokens(team) for team in self._budgets)
     limits = sum(budget.limit for budget in self._budgets.values())
     counts = self._counts
     return Result(
@@ -326,12 +332,12 @@
         lost=lost / limits,
         overspend=max(0, self._overspend),
         calls=dict(self._fleet.store.calls),
-        seconds=dict(self._seconds),
-        causes=dict(self._causes),
+        seconds=dict(self._false_refusals_by_s),
+        causes=dict(self._false_refusals_by_cause),
     )
 
-  def _lost(self, team: str) -> int:
-    """Returns the tokens of a budget that nobody can use any more."""
+  def _lost_tokens(self, team: str) -> int:
+    """Returns the tokens of a budget that no router can use any more."""
     record = self._fleet.store.records.get(ledger.key(team))
     if record is None:
       return 0
@@ -349,7 +355,7 @@
 
 
 def play(day: days.Day, config: settings.Router, seed: int) -> Result:
-  """Plays a day; the same seed gives the same result."""
+  """Simulates a day; the same seed gives the same result."""
   logging.getLogger("mustardfall").setLevel(logging.CRITICAL)
   random.seed(seed)
-  return loop.run(_Day(day, config, seed).run)
+  return loop.run(_Simulation(day, config, seed).run)
--- a/mustardfall/bench/virtual/store.py
+++ b/mustardfall/bench/virtual/store.py
@@ -1,4 +1,4 @@
-"""The key-value store in virtual time, and a host's client of it."""
+"""The simulated key-value store, and a host's client for it."""
 
 import asyncio
 import collections
@@ -14,12 +14,12 @@
 from mustardfall.kv import contact
 from mustardfall.kv import protocol
 
-_ANSWER_S = 0.004
-"""Time that the store takes for an answer."""
-_CALL_S = 0.45
-"""A caller gives up after this."""
-_WATCH_SLACK_S = 0.6
-"""How much later than asked a watch may end before it is given up."""
+_LATENCY_S = 0.004
+"""Time from a call to the store's answer."""
+_CALL_TIMEOUT_S = 0.45
+"""A client abandons a call after this time."""
+_WATCH_TIMEOUT_S = 0.6
+"""A client abandons a watch this long after its expected end."""
 
 
 class _Change(NamedTuple):
@@ -29,7 +29,7 @@
 
 
 class Store:
-  """What all clients share: keys, leases and the history."""
+  """The state that all clients share: keys, leases and the history."""
 
   def __init__(self) -> None:
     self.records: dict[str, protocol.Record] = {}
@@ -38,25 +38,25 @@
     self._history: list[_Change] = []
     self._changed = anyio.Event()
     self._leases: dict[int, set[str]] = {}
-    self._lease_of: dict[str, int] = {}
+    self._lease_by_key: dict[str, int] = {}
     self._timers: dict[int, asyncio.TimerHandle] = {}
     self._ids = itertools.count(1)
 
-  def _note(self, deleted: bool, record: protocol.Record) -> None:
+  def _append_change(self, deleted: bool, record: protocol.Record) -> None:
     self._history.append(_Change(self.revision, deleted, record))
     self._changed.set()
     self._changed = anyio.Event()
 
   def _put(self, key: str, value: bytes, lease: int) -> None:
-    self._drop_lease(key)
+    self._detach_lease(key)
     if lease:
       self._leases[lease].add(key)
-      self._lease_of[key] = lease
+      self._lease_by_key[key] = lease
     self.records[key] = protocol.Record(key, value, self.revision, 0)
-    self._note(False, self.records[key])
+    self._append_change(False, self.records[key])
 
-  def _drop_lease(self, key: str) -> None:
-    lease = self._lease_of.pop(key, 0)
+  def _detach_lease(self, key: str) -> None:
+    lease = self._lease_by_key.pop(key, 0)
     if lease in self._leases:
       self._leases[lease].discard(key)
 
@@ -72,43 +72,43 @@
         return protocol.TxnResult(False, self.revision, records)
     puts = [op for op in ops if isinstance(op, protocol.Put)]
     if any(op.lease and op.lease not in self._leases for op in puts):
-      raise errors.KvUnavailableError("the lease has ended")
+      raise errors.KvUnavailableError("a lease of the transaction has ended")
     self.revision += 1
     for op in puts:
       self._put(op.key, op.value, op.lease)
     return protocol.TxnResult(True, self.revision, [])
 
-  def grant(self, ttl_s: float) -> int:
-    """Opens a lease; returns its id."""
+  def grant_lease(self, ttl_s: float) -> int:
+    """Grants a lease; returns its id."""
     lease = next(self._ids)
     self._leases[lease] = set()
-    self.keep(lease, ttl_s)
+    self.keep_alive(lease, ttl_s)
     return lease
 
-  def keep(self, lease: int, ttl_s: float) -> bool:
-    """Renews a lease; returns False when it has ended."""
+  def keep_alive(self, lease: int, ttl_s: float) -> bool:
+    """Renews a lease; returns False if it has ended."""
     if lease not in self._leases:
       return False
     old = self._timers.pop(lease, None)
     if old is not None:
       old.cancel()
     loop = asyncio.get_running_loop()
-    self._timers[lease] = loop.call_later(ttl_s, self.end, lease)
+    self._timers[lease] = loop.call_later(ttl_s, self.revoke_lease, lease)
     return True
 
-  def end(self, lease: int) -> None:
-    """Ends a lease and deletes its keys."""
+  def revoke_lease(self, lease: int) -> None:
+    """Ends a lease, also when it expires, and deletes its keys."""
     timer = self._timers.pop(lease, None)
     if timer is not None:
       timer.cancel()
     for key in self._leases.pop(lease, ()):
       self.revision += 1
-      self._lease_of.pop(key, None)
+      self._lease_by_key.pop(key, None)
       record = self.records.pop(key)
-      self._note(True, record)
+      self._append_change(True, record)
 
-  def changes(self, prefix: str, since: int) -> list[_Change]:
-    """Returns what changed under `prefix` from revision `since` on."""
+  def changes_since(self, prefix: str, since: int) -> list[_Change]:
+    """Returns the changes under `prefix` from revision `since` on."""
     found = []
     for change in reversed(self._history):
       if change.revision < since:
@@ -117,19 +117,19 @@
         found.append(change)
     return found[::-1]
 
-  async def wait(self) -> None:
+  async def wait_for_change(self) -> None:
     """Waits for the next change."""
     await self._changed.wait()
 
 
 class Client:
-  """One host's client; fails as the network says.
+  """One host's client; its calls fail according to the active faults.
 
   Args:
     store: the store.
-    network: the faults in force.
-    host: whose client it is.
-    rng: draws which answers are lost.
+    network: the active faults.
+    host: name of the host that the client runs on.
+    rng: selects the calls whose replies are lost.
     clock: the time source.
   """
 
@@ -155,27 +155,37 @@
     return not self._contact.lost
 
   async def close(self) -> None:
-    """Does nothing."""
-
-  async def _reach(self, kind: str, eager: bool = False) -> None:
-    """Takes as long as a call; raises what a failed one raises."""
-    if not eager and not self._contact.may_try():
-      raise errors.KvUnavailableError("store away")
+    """Does nothing: there is no connection to close."""
+
+  async def _call(self, kind: str, ignore_backoff: bool = False) -> None:
+    """Simulates the duration and the failure of a call.
+
+    Args:
+      kind: label under which the call is counted.
+      ignore_backoff: whether the call is made even though the client pauses
+        between attempts, as the store was not reached.
+
+    Raises:
+      errors.KvUnavailableError: the call was not made or was refused.
+      errors.KvUnknownError: the store did not answer.
+    """
+    if not ignore_backoff and not self._contact.may_try():
+      raise errors.KvUnavailableError("call not made: the store is unreachable")
     self.calls += 1
     self._store.calls[kind] += 1
     if not self._network.reaches_store(self._host):
-      await anyio.sleep(_CALL_S)
+      await anyio.sleep(_CALL_TIMEOUT_S)
       self._contact.note("no answer")
-      raise errors.KvUnknownError("no answer")
-    await anyio.sleep(_ANSWER_S * self._network.slow_x)
+      raise errors.KvUnknownError("no answer from the store")
+    await anyio.sleep(_LATENCY_S * self._network.latency_factor)
     if self._network.is_refused(self._host):
       self._contact.note("refused")
-      raise errors.KvUnavailableError("refused")
+      raise errors.KvUnavailableError("the store refused the call")
     self._contact.note(None)
 
   async def get(self, key: str) -> protocol.Record | None:
     """Returns the record at `key`, or None."""
-    await self._reach("read")
+    await self._call("read")
     return self._store.records.get(key)
 
   async def get_many(self, keys: list[str]) -> dict[str, protocol.Record]:
@@ -189,7 +199,7 @@
 
   async def get_prefix(self, prefix: str) -> tuple[int, list[protocol.Record]]:
     """Returns the revision and the records under `prefix`."""
-    await self._reach("read", eager=True)
+    await self._call("read", ignore_backoff=True)
     records = [
         record
         for key, record in sorted(self._store.records.items())
@@ -208,50 +218,50 @@
       success: list[protocol.Op],
       failure: list[protocol.Op] | None = None,
   ) -> protocol.TxnResult:
-    """Runs a transaction, or does it and loses the answer."""
+    """Runs a transaction; its reply may be lost, and it may be applied late."""
     del failure
-    await self._reach("write")
-    if self._rng.random() >= self._network.lose:
+    await self._call("write")
+    if self._rng.random() >= self._network.lost_write_share:
       return self._store.commit(compares, success)
-    late_s = self._rng.uniform(0.0, self._network.late_s)
+    late_s = self._rng.uniform(0.0, self._network.max_late_s)
     loop = asyncio.get_running_loop()
     loop.call_later(late_s, self._store.commit, compares, success)
-    await anyio.sleep(_CALL_S)
+    await anyio.sleep(_CALL_TIMEOUT_S)
     self._contact.note("answer lost")
-    raise errors.KvUnknownError("answer lost")
+    raise errors.KvUnknownError("the store's reply was lost")
 
   async def grant_lease(self, ttl_s: int) -> int:
-    """Opens a lease; returns its id."""
-    await self._reach("write")
-    lease = self._store.grant(ttl_s)
+    """Grants a lease; returns its id."""
+    await self._call("write")
+    lease = self._store.grant_lease(ttl_s)
     self._ttls[lease] = ttl_s
     return lease
 
   async def keep_alive(self, lease: int) -> int:
-    """Renews a lease; returns its term, 0 when it has ended."""
-    await self._reach("keep")
+    """Renews a lease; returns its TTL in seconds, or 0 if it has ended."""
+    await self._call("keep")
     ttl_s = self._ttls[lease]
-    return int(ttl_s) if self._store.keep(lease, ttl_s) else 0
+    return int(ttl_s) if self._store.keep_alive(lease, ttl_s) else 0
 
   async def revoke_lease(self, lease: int) -> None:
     """Ends a lease."""
-    await self._reach("write")
-    self._store.end(lease)
+    await self._call("write")
+    self._store.revoke_lease(lease)
 
   async def watch(
       self, prefix: str, start_revision: int, idle_s: float
   ) -> AsyncIterator[protocol.Event]:
-    """Yields changes under `prefix` until the way to the store is lost."""
+    """Yields changes under `prefix` until the store is unreachable."""
     since = start_revision
     while True:
-      await self._reach("watch", eager=True)
+      await self._call("watch", ignore_backoff=True)
       with anyio.move_on_after(idle_s):
-        while not self._store.changes(prefix, since):
-          await self._store.wait()
+        while not self._store.changes_since(prefix, since):
+          await self._store.wait_for_change()
       if not self._network.reaches_store(self._host):
-        await anyio.sleep(_WATCH_SLACK_S)
+        await anyio.sleep(_WATCH_TIMEOUT_S)
         self._contact.note("watch silent")
-        raise errors.KvUnknownError("watch silent")
-      for change in self._store.changes(prefix, since):
+        raise errors.KvUnknownError(f"no answer to the watch on {prefix!r}")
+      for change in self._store.changes_since(prefix, since):
         yield protocol.Event(change.deleted, change.record)
       since = self._store.revision + 1
--- a/tests/test_virtual.py
+++ b/tests/test_virtual.py
@@ -1,9 +1,10 @@
-"""The model in virtual time, and the deployed policy on the days it answers.
+"""The simulation of budgets, and the deployed budget policy in it.
 
-Pattern: the users' deployments with eight hosts. Many or all hosts lose the
-store twice for some eight seconds, while they still reach each other, and on
-most days all of them die near the end. Traffic, budgets (1.3 times of what
-34 s usually ask) and times are those of `bench.virtual.days`.
+The simulated days follow the users' deployments with eight hosts: twice a day,
+many or all hosts cannot reach the store for about eight seconds, while they
+still reach each other, and on most days all of them die near the end. Traffic,
+limits (1.3 times the usual demand of 34 s) and times are the defaults of
+`bench.virtual.days`.
 """
 
 import pathlib
@@ -20,13 +21,13 @@
 
 
 def _policy(**allotment):
-  """Returns the deployed settings with others for allotments."""
+  """Returns the deployed settings with changed allotment settings."""
   changed = _DEPLOYED.allotment.model_copy(update=allotment)
   return _DEPLOYED.model_copy(update={"allotment": changed})
 
 
-def _cut(at_s):
-  return days.Cut(at_s=at_s, for_s=8.0)
+def _partition(at_s):
+  return days.Partition(at_s=at_s, for_s=8.0)
 
 
 _KILL = days.Kill(at_s=34.0, for_s=1.0, power=True)
@@ -51,11 +52,12 @@
 
 
 class PromiseSizeTest(testtools.TestCase):
-  """How much holders may draw unheard: by what is left of the budget.
+  """Size of a promise: the tokens a router may use before it reports again.
 
-  A promise as large as two seconds of draw costs that much at a death, and
-  is too small in the first seconds of a cut. By a fixed part of what is left
-  it is large early, when nothing runs short, and small near the end.
+  A promise of two seconds of usage loses as many tokens when the router dies,
+  and is too small for the first seconds of a network partition. One that is a
+  fixed share of the budget's remaining tokens is large early, when tokens are
+  plentiful, and small near the end.
   """
 
   _BEFORE = {
@@ -74,7 +76,7 @@
     self.assertTrue(lost[1] < 0.7 * lost[0], lost)
 
   def test_early_cuts_refuse_fewer(self):
-    day = days.Day(name="cut", traffic_s=18.0, events=[_cut(6.0)])
+    day = days.Day(name="cut", traffic_s=18.0, events=[_partition(6.0)])
     refused = [
         sum(play.play(day, config, seed).falsely for seed in (1, 2))
         for config in (_policy(**self._BEFORE), _DEPLOYED)
