--- a/mustardfall/bench/placements.py
+++ b/mustardfall/bench/placements.py
@@ -44,7 +44,7 @@
 
 
 def _play(job: Job) -> Played:
-  player = engines.Player(DAYS[job.day], job.policy, job.seed)
+  player = engines.Simulation(DAYS[job.day], job.policy, job.seed)
   return Played(job, player.play())
 
 
--- a/mustardfall/bench/virtual/engines.py
+++ b/mustardfall/bench/virtual/engines.py
@@ -145,7 +145,7 @@
   sent_at: float
 
 
-class Player:
+class Simulation:
   """Plays one day with one policy.
 
   Args:
@@ -283,7 +283,7 @@
 
 
 def _choose_known(
-    player: Player, router: _Router, prompt: placement.Prompt, now: float
+    player: Simulation, router: _Router, prompt: placement.Prompt, now: float
 ) -> placement.Place:
   """Takes what the router itself knows."""
   del player, now
@@ -291,7 +291,7 @@
 
 
 def _choose_hashed(
-    player: Player, router: _Router, prompt: placement.Prompt, now: float
+    player: Simulation, router: _Router, prompt: placement.Prompt, now: float
 ) -> placement.Place:
   """Takes the first in the prefix's order."""
   del now
@@ -303,7 +303,7 @@
 
 
 def _choose_of_two(
-    player: Player, router: _Router, prompt: placement.Prompt, now: float
+    player: Simulation, router: _Router, prompt: placement.Prompt, now: float
 ) -> placement.Place:
   """Takes the less busy of two drawn at random, as the router knows them."""
   del now
@@ -314,7 +314,7 @@
 
 
 def _choose_tracked(
-    player: Player, router: _Router, prompt: placement.Prompt, now: float
+    player: Simulation, router: _Router, prompt: placement.Prompt, now: float
 ) -> placement.Place:
   """Asks those who track the candidates."""
   rounds = placement.candidates(
@@ -337,14 +337,14 @@
 
 
 def _tell_nobody(
-    player: Player, router: _Router, step: str, sent: _Sent, now: float
+    player: Simulation, router: _Router, step: str, sent: _Sent, now: float
 ) -> None:
   del player, step
   router.loads.note_sent(sent.place.row.name, sent.prompt.prefix, now)
 
 
 def _tell_some(
-    player: Player, router: _Router, step: str, sent: _Sent, now: float
+    player: Simulation, router: _Router, step: str, sent: _Sent, now: float
 ) -> None:
   """Tells a few others in turn, as seldom as the bytes allow."""
   if step == "sent":
@@ -363,7 +363,7 @@
 
 
 def _tell_tracker(
-    player: Player, router: _Router, step: str, sent: _Sent, now: float
+    player: Simulation, router: _Router, step: str, sent: _Sent, now: float
 ) -> None:
   """Tells who tracks the endpoint."""
   del router
