--- a/mustardfall/bench/experiment.py
+++ b/mustardfall/bench/experiment.py
@@ -17,7 +17,7 @@
 
 from mustardfall import settings
 from mustardfall.bench.virtual import days
-from mustardfall.bench.virtual import play
+from mustardfall.bench.virtual import simulation
 
 _ANYWHERE = {"port": 0}
 """Stands for addresses, which a day in virtual time has none of."""
@@ -38,7 +38,7 @@
   policy: str
   day: days.Day
   seed: int
-  result: play.Result
+  result: simulation.Result
 
 
 class Figure(NamedTuple):
@@ -86,11 +86,11 @@
 
 
 def _play(job: Job) -> Played:
-  result = play.play(job.day, job.config, job.seed)
+  result = simulation.simulate(job.day, job.config, job.seed)
   return Played(job.policy, job.day, job.seed, result)
 
 
-_MEASURES: dict[str, Callable[[play.Result], float]] = {
+_MEASURES: dict[str, Callable[[simulation.Result], float]] = {
     "refused %": lambda r: 100 * r.refused / r.requests,
     "falsely %": lambda r: 100 * r.falsely / r.requests,
     "of it cut %": lambda r: 100 * r.falsely_cut / r.requests,
--- a/mustardfall/bench/virtual/play.py
+++ b/mustardfall/bench/virtual/simulation.py
@@ -354,7 +354,7 @@
     return max(0, found["limit"] - known)
 
 
-def play(day: days.Day, config: settings.Router, seed: int) -> Result:
+def simulate(day: days.Day, config: settings.Router, seed: int) -> Result:
   """Simulates a day; the same seed gives the same result."""
   logging.getLogger("mustardfall").setLevel(logging.CRITICAL)
   random.seed(seed)
--- a/tests/test_virtual.py
+++ b/tests/test_virtual.py
@@ -14,7 +14,7 @@
 
 from mustardfall.bench import experiment
 from mustardfall.bench.virtual import days
-from mustardfall.bench.virtual import play
+from mustardfall.bench.virtual import simulation
 
 _ROOT = pathlib.Path(__file__).parents[1]
 _DEPLOYED = experiment.read_policy(_ROOT / "deploy" / "router.yaml", None)
@@ -37,18 +37,18 @@
 
   def test_same_seed_same_day(self):
     day = days.draw(3).model_copy(update={"traffic_s": 8.0})
-    first = play.play(day, _DEPLOYED, 3)
-    self.assertEqual(first, play.play(day, _DEPLOYED, 3))
-    self.assertNotEqual(first, play.play(day, _DEPLOYED, 4))
+    first = simulation.simulate(day, _DEPLOYED, 3)
+    self.assertEqual(first, simulation.simulate(day, _DEPLOYED, 3))
+    self.assertNotEqual(first, simulation.simulate(day, _DEPLOYED, 4))
 
   def test_no_budget_is_overspent_on_drawn_days(self):
     for seed in range(4):
-      result = play.play(days.draw(seed), _DEPLOYED, seed)
+      result = simulation.simulate(days.draw(seed), _DEPLOYED, seed)
       self.assertEqual(0, result.overspend, f"seed {seed}")
 
   def test_calm_day_refuses_nobody(self):
     day = days.Day(name="calm", traffic_s=15.0)
-    self.assertEqual(0, play.play(day, _DEPLOYED, 1).falsely)
+    self.assertEqual(0, simulation.simulate(day, _DEPLOYED, 1).falsely)
 
 
 class PromiseSizeTest(testtools.TestCase):
@@ -70,7 +70,7 @@
   def test_deaths_near_the_end_lose_less(self):
     day = days.Day(name="death", events=[_KILL])
     lost = [
-        sum(play.play(day, config, seed).lost for seed in (1, 2))
+        sum(simulation.simulate(day, config, seed).lost for seed in (1, 2))
         for config in (_policy(**self._BEFORE), _DEPLOYED)
     ]
     self.assertTrue(lost[1] < 0.7 * lost[0], lost)
@@ -78,7 +78,7 @@
   def test_early_cuts_refuse_fewer(self):
     day = days.Day(name="cut", traffic_s=18.0, events=[_partition(6.0)])
     refused = [
-        sum(play.play(day, config, seed).falsely for seed in (1, 2))
+        sum(simulation.simulate(day, config, seed).falsely for seed in (1, 2))
         for config in (_policy(**self._BEFORE), _DEPLOYED)
     ]
     self.assertTrue(refused[1] < 0.7 * refused[0], refused)
