--- a/mustardfall/bench/placements.py
+++ b/mustardfall/bench/placements.py
@@ -45,7 +45,7 @@
 
 def _play(job: Job) -> Played:
   player = engines.Simulation(DAYS[job.day], job.policy, job.seed)
-  return Played(job, player.play())
+  return Played(job, player.run())
 
 
 def _figures(result: engines.Result) -> dict[str, float]:
--- a/mustardfall/bench/virtual/engines.py
+++ b/mustardfall/bench/virtual/engines.py
@@ -186,7 +186,7 @@
     """Has something happen at a time."""
     heapq.heappush(self._events, (at, next(self._order), step))
 
-  def play(self) -> Result:
+  def run(self) -> Result:
     """Plays the day to its end."""
     for kind in self._day.kinds:
       at = self._random.expovariate(kind.per_s)
