--- a/mustardfall/bench/virtual/engines.py
+++ b/mustardfall/bench/virtual/engines.py
@@ -1,9 +1,10 @@
-"""Streams of a large fleet before batching engines, in virtual time.
+"""Discrete-event simulation of request placement in a large fleet.
 
-Places requests with the router's own functions. An engine reads prompts one
-after the other, keeps what it has read, and may turn slow; what a router knows
-of it depends on the policy. Calm traffic only: what is compared is where work
-goes and who waits.
+Requests are placed by the router's production functions. An engine prefills
+prompts one after the other, caches the prefixes, and may become slow. What a
+router knows of the engines depends on the policy. There are no network or
+store faults: the simulation compares where requests are placed and how long
+they wait.
 """
 
 from collections.abc import Callable
@@ -21,20 +22,20 @@
 from mustardfall.routing import placement
 from mustardfall.routing import tracking
 
-_READ_TOKENS_PER_S = 64_200.0
-_ATTEND_S_PER_PAIR = 0.647e-9
-_FIRST_S = 0.005
-"""A step and the way there and back."""
-_STREAM_S = 0.5
-"""How long a stream goes on after its first token."""
-_TOLD_AT_ONCE = 8
-_TELL_S = 0.25
-"""Routers told by one report, and the time between two, where a sample of the
-others is told in turn."""
+_PREFILL_TOKENS_PER_S = 64_200.0
+_ATTENTION_S_PER_TOKEN_PAIR = 0.647e-9
+_FIRST_TOKEN_OVERHEAD_S = 0.005
+"""Duration of one engine step and of the network round trip."""
+_DECODE_S = 0.5
+"""Duration of a stream after its first token."""
+_REPORT_FANOUT = 8
+_REPORT_INTERVAL_S = 0.25
+"""Number of routers that a load report is sent to, and the minimum interval
+between reports, for policies that report to a sample of the routers."""
 
 
 class Kind(NamedTuple):
-  """Requests of one kind."""
+  """Rate, sizes and values of one kind of requests."""
 
   name: str
   per_s: float
@@ -42,7 +43,7 @@
   shared_tokens: float
   own_tokens: float
   own_spread: float
-  """Of the logarithm of a prompt's own tokens."""
+  """Standard deviation of the logarithm of a prompt's own tokens."""
   objective_s: float
   worth: float
   late_worth: float
@@ -53,11 +54,11 @@
     Kind("notice", 37.7, 427, 6_300, 2_890, 1.0, 0.6, 2.8, 0.84),
     Kind("label", 98.0, 1_662, 350, 1_110, 1.0, 0.4, 0.29, 0.086),
 )
-"""Three kinds of streams as one region of 195 hosts has them."""
+"""The three kinds of streams in a region of 195 hosts."""
 
 
 class Day(NamedTuple):
-  """What is played."""
+  """Parameters of a simulated day."""
 
   routers: int = 195
   engines: int = 39
@@ -65,52 +66,55 @@
   seconds: float = 30.0
   kinds: tuple[Kind, ...] = KINDS
   slow: int = 0
-  """Engines that are slow from a third of the day on."""
+  """Number of engines that become slow after a third of the day."""
   slow_x: float = 3.5
   hot: float = 0.0
-  """Part of the second kind's requests that have one prefix."""
+  """Additional share of the second kind's requests that use its first prefix."""
 
 
 class Result(NamedTuple):
-  """What came of a day."""
+  """The outcome of a simulated day."""
 
   worth: dict[str, float]
-  """Part of the worth earned, by kind."""
+  """Share of the maximum worth that was earned, by kind."""
   largest: float
-  """The same of the largest tenth of the first kind."""
+  """The same for the largest tenth of the first kind's requests."""
   late: dict[str, float]
-  """Part of first tokens past their objective, by kind."""
+  """Share of requests whose first token missed its objective, by kind."""
   p99_s: dict[str, float]
-  """Time to the first token of the slowest hundredth, by kind."""
+  """99th percentile of the time to the first token, by kind."""
   read_again: float
-  """Shared tokens read that some engine had read, per shared token asked."""
+  """Shared tokens that were prefilled although an engine had prefilled their
+  prefix before, per shared token of all requests."""
   messages_per_s: float
-  """Datagrams that a router sends, in the mean."""
+  """Mean number of messages that a router sends per second."""
 
 
 class _Engine:
-  """Reads prompts one after the other."""
+  """An engine that prefills prompts one after the other."""
 
   def __init__(self) -> None:
-    self.free_at = 0.0
+    self.idle_at = 0.0
     self.cached: set[str] = set()
     self.slow_x = 1.0
 
-  def read(self, prompt: placement.Prompt, now: float) -> tuple[float, int]:
-    """Returns when the first token comes, and the shared tokens read."""
+  def prefill(self, prompt: placement.Prompt, now: float) -> tuple[float, int]:
+    """Returns the time of the first token, and the shared tokens prefilled."""
     held = prompt.prefix in self.cached
     shared = 0 if held else prompt.shared_tokens
     tokens = prompt.own_tokens + shared
     before = prompt.shared_tokens - shared
     pairs = tokens * (before + tokens / 2)
-    seconds = tokens / _READ_TOKENS_PER_S + pairs * _ATTEND_S_PER_PAIR
-    self.free_at = max(now, self.free_at) + seconds * self.slow_x
+    seconds = (
+        tokens / _PREFILL_TOKENS_PER_S + pairs * _ATTENTION_S_PER_TOKEN_PAIR
+    )
+    self.idle_at = max(now, self.idle_at) + seconds * self.slow_x
     self.cached.add(prompt.prefix)
-    return self.free_at + _FIRST_S, shared
+    return self.idle_at + _FIRST_TOKEN_OVERHEAD_S, shared
 
 
 class _Router:
-  """What one router knows."""
+  """One router's knowledge of the engines."""
 
   def __init__(self, number: int, day: Day) -> None:
     self.number = number
@@ -129,13 +133,13 @@
     )
     self.rows = list(self.table.rows.values())
     self.loads = loads.Loads(self.table, f"r{number}:e")
-    self.told_at = 0.0
-    self.turn = number
+    self.last_report_at = 0.0
+    self.next_peer = number
 
 
 @dataclasses.dataclass
-class _Sent:
-  """A request that was placed."""
+class _PlacedRequest:
+  """A request that was sent to an engine."""
 
   kind: Kind
   tokens: int
@@ -146,33 +150,34 @@
 
 
 class Simulation:
-  """Plays one day with one policy.
+  """Simulates one day with one policy.
 
   Args:
-    day: what is played.
-    policy: one of `POLICIES`.
-    seed: of the traffic and of all that is drawn.
+    day: the parameters of the day.
+    policy: a key of `POLICIES`.
+    seed: of all random numbers except the sizes of prefixes.
   """
 
   def __init__(self, day: Day, policy: str, seed: int) -> None:
     self._day = day
     self._random = random.Random(f"engines {seed}")
-    self._choose, self._tell = POLICIES[policy]
+    self._choose, self._report = POLICIES[policy]
     self.routers = [_Router(n, day) for n in range(day.routers)]
     self.engines = {f"i-{n}": _Engine() for n in range(day.engines)}
     self.tracker = tracking.Tracker()
-    """Of all engines: each is tracked by one router, a message away."""
+    """Tracks all engines. In a real fleet each engine is tracked by some router,
+    which others ask by message."""
     self.messages = 0
-    self._known: set[str] = set()
-    self._shared_asked = 0
-    self._read_again = 0
+    self._read_prefixes: set[str] = set()
+    self._shared_tokens = 0
+    self._reread_tokens = 0
     self._times: dict[str, list[tuple[int, float]]] = {}
     self._events: list[tuple[float, int, Callable[[float], None]]] = []
     self._order = itertools.count()
-    self._sizes = self._draw_prefixes()
+    self._prefix_tokens = self._draw_prefixes()
 
   def _draw_prefixes(self) -> dict[str, list[int]]:
-    """Returns the shared tokens of each prefix, by kind."""
+    """Returns the shared tokens of each prefix, by kind; the same for all seeds."""
     rng = random.Random("prefixes")
     return {
         kind.name: [
@@ -182,20 +187,20 @@
         for kind in self._day.kinds
     }
 
-  def later(self, at: float, step: Callable[[float], None]) -> None:
-    """Has something happen at a time."""
+  def schedule(self, at: float, step: Callable[[float], None]) -> None:
+    """Schedules `step` to run at virtual time `at`."""
     heapq.heappush(self._events, (at, next(self._order), step))
 
   def run(self) -> Result:
-    """Plays the day to its end."""
+    """Runs the simulation until no event is left."""
     for kind in self._day.kinds:
       at = self._random.expovariate(kind.per_s)
       while at < self._day.seconds:
-        self.later(at, lambda now, kind=kind: self._arrive(kind, now))
+        self.schedule(at, lambda now, kind=kind: self._place_request(kind, now))
         at += self._random.expovariate(kind.per_s)
     for number in range(self._day.slow):
       engine = self.engines[f"i-{number}"]
-      self.later(
+      self.schedule(
           self._day.seconds / 3,
           lambda now, engine=engine: setattr(
               engine, "slow_x", self._day.slow_x
@@ -206,45 +211,51 @@
       step(at)
     return self._result()
 
-  def _draw(self, kind: Kind) -> placement.Prompt:
+  def _draw_prompt(self, kind: Kind) -> placement.Prompt:
     number = self._random.randrange(kind.prefixes)
     if kind is self._day.kinds[1] and self._random.random() < self._day.hot:
       number = 0
     mu = math.log(kind.own_tokens) - kind.own_spread**2 / 2
     own = int(self._random.lognormvariate(mu, kind.own_spread))
-    shared = self._sizes[kind.name][number]
+    shared = self._prefix_tokens[kind.name][number]
     return placement.Prompt(f"{kind.name}-{number}", shared, min(own, 53_000))
 
-  def _arrive(self, kind: Kind, now: float) -> None:
+  def _place_request(self, kind: Kind, now: float) -> None:
     router = self._random.choice(self.routers)
-    prompt = self._draw(kind)
+    prompt = self._draw_prompt(kind)
     place = self._choose(self, router, prompt, now)
     name = f"{now:.6f}"
-    sent = _Sent(kind, sum(prompt[1:]), prompt, place, name, sent_at=now)
+    sent = _PlacedRequest(
+        kind, sum(prompt[1:]), prompt, place, name, sent_at=now
+    )
     place.row.in_flight += 1
     place.row.reading_s += place.reading_s
-    first_at, shared = self.engines[place.row.name].read(prompt, now)
-    self._shared_asked += prompt.shared_tokens
-    if prompt.prefix in self._known:
-      self._read_again += shared
-    self._known.add(prompt.prefix)
-    self._tell(self, router, "sent", sent, now)
-    self.later(first_at, lambda at: self._first(router, sent, at))
-
-  def _first(self, router: _Router, sent: _Sent, now: float) -> None:
+    first_at, shared = self.engines[place.row.name].prefill(prompt, now)
+    self._shared_tokens += prompt.shared_tokens
+    if prompt.prefix in self._read_prefixes:
+      self._reread_tokens += shared
+    self._read_prefixes.add(prompt.prefix)
+    self._report(self, router, "sent", sent, now)
+    self.schedule(
+        first_at, lambda at: self._receive_first_token(router, sent, at)
+    )
+
+  def _receive_first_token(
+      self, router: _Router, sent: _PlacedRequest, now: float
+  ) -> None:
     sent.place.row.reading_s -= sent.place.reading_s
     took_s = now - sent.sent_at
     self._times.setdefault(sent.kind.name, []).append((sent.tokens, took_s))
     router.table.learn(sent.place.row, sent.place.answer_s, took_s)
-    self._tell(self, router, "first", sent, now)
-    self.later(now + _STREAM_S, lambda at: self._end(router, sent, at))
+    self._report(self, router, "first", sent, now)
+    self.schedule(now + _DECODE_S, lambda at: self._finish(router, sent, at))
 
-  def _end(self, router: _Router, sent: _Sent, now: float) -> None:
+  def _finish(self, router: _Router, sent: _PlacedRequest, now: float) -> None:
     sent.place.row.in_flight -= 1
-    self._tell(self, router, "end", sent, now)
+    self._report(self, router, "end", sent, now)
 
   def rng(self) -> random.Random:
-    """Returns what policies draw from."""
+    """Returns the random number generator for policies."""
     return self._random
 
   def _result(self) -> Result:
@@ -265,13 +276,13 @@
         _worth(first, times[-max(1, len(times) // 10) :]),
         late,
         p99_s,
-        self._read_again / max(1, self._shared_asked),
+        self._reread_tokens / max(1, self._shared_tokens),
         self.messages / self._day.routers / self._day.seconds,
     )
 
 
 def _worth(kind: Kind, times: list[tuple[int, float]]) -> float:
-  """Returns the part of the worth that was earned."""
+  """Returns the share of the maximum worth that was earned."""
   late = kind.late_worth / kind.worth
   mean = statistics.fmean(tokens for tokens, _ in times)
   weights = [min(4.0, 0.3 + 0.7 * tokens / mean) for tokens, _ in times]
@@ -282,50 +293,62 @@
   return earned / sum(weights)
 
 
-def _choose_known(
-    player: Simulation, router: _Router, prompt: placement.Prompt, now: float
+def _choose_least_loaded(
+    simulation: Simulation,
+    router: _Router,
+    prompt: placement.Prompt,
+    now: float,
 ) -> placement.Place:
-  """Takes what the router itself knows."""
-  del player, now
+  """Places the request by the load that the router knows itself."""
+  del simulation, now
   return placement.choose(router.rows, prompt, router.datacentre)
 
 
-def _choose_hashed(
-    player: Simulation, router: _Router, prompt: placement.Prompt, now: float
+def _choose_by_hash(
+    simulation: Simulation,
+    router: _Router,
+    prompt: placement.Prompt,
+    now: float,
 ) -> placement.Place:
-  """Takes the first in the prefix's order."""
+  """Takes the first endpoint in the hash order of the prefix."""
   del now
   first, _ = placement.candidates(
-      router.rows, prompt, router.datacentre, player.rng()
+      router.rows, prompt, router.datacentre, simulation.rng()
   )
   held_s = placement.reading_s(True, prompt)
   return placement.Place(first[0].row, held_s, held_s)
 
 
 def _choose_of_two(
-    player: Simulation, router: _Router, prompt: placement.Prompt, now: float
+    simulation: Simulation,
+    router: _Router,
+    prompt: placement.Prompt,
+    now: float,
 ) -> placement.Place:
-  """Takes the less busy of two drawn at random, as the router knows them."""
+  """Takes the less busy of two random endpoints, as far as the router knows."""
   del now
-  rows = player.rng().sample(router.rows, 2)
+  rows = simulation.rng().sample(router.rows, 2)
   row = min(rows, key=lambda r: placement.wait_s(r, prompt))
   own_s = placement.reading_s(False, prompt)
   return placement.Place(row, own_s, placement.wait_s(row, prompt) + own_s)
 
 
 def _choose_tracked(
-    player: Simulation, router: _Router, prompt: placement.Prompt, now: float
+    simulation: Simulation,
+    router: _Router,
+    prompt: placement.Prompt,
+    now: float,
 ) -> placement.Place:
-  """Asks those who track the candidates."""
+  """Places the request by the load that the candidates' trackers report."""
   rounds = placement.candidates(
-      router.rows, prompt, router.datacentre, player.rng()
+      router.rows, prompt, router.datacentre, simulation.rng()
   )
   asked: list[placement.Candidate] = []
   for found in rounds:
     asked += found
-    player.messages += len(found)
+    simulation.messages += len(found)
     standings = {
-        one.row.life: player.tracker.stand(one.row.life, prompt.prefix, now)
+        one.row.life: simulation.tracker.stand(one.row.life, prompt.prefix, now)
         for one in asked
     }
     place = placement.choose_tracked(
@@ -336,54 +359,69 @@
   return place
 
 
-def _tell_nobody(
-    player: Simulation, router: _Router, step: str, sent: _Sent, now: float
+def _record_locally(
+    simulation: Simulation,
+    router: _Router,
+    step: str,
+    sent: _PlacedRequest,
+    now: float,
 ) -> None:
-  del player, step
+  del simulation, step
   router.loads.note_sent(sent.place.row.name, sent.prompt.prefix, now)
 
 
-def _tell_some(
-    player: Simulation, router: _Router, step: str, sent: _Sent, now: float
+def _report_to_sample(
+    simulation: Simulation,
+    router: _Router,
+    step: str,
+    sent: _PlacedRequest,
+    now: float,
 ) -> None:
-  """Tells a few others in turn, as seldom as the bytes allow."""
+  """Sends a load report to a few routers in turn, at a limited rate.
+
+  The rate bounds the traffic between routers.
+  """
   if step == "sent":
     router.loads.note_sent(sent.place.row.name, sent.prompt.prefix, now)
-  if now - router.told_at < _TELL_S:
+  if now - router.last_report_at < _REPORT_INTERVAL_S:
     return
-  router.told_at = now
+  router.last_report_at = now
   report = router.loads.report()
-  for _ in range(_TOLD_AT_ONCE):
-    router.turn = (router.turn + 1) % len(player.routers)
-    player.messages += 1
-    other = player.routers[router.turn]
+  for _ in range(_REPORT_FANOUT):
+    router.next_peer = (router.next_peer + 1) % len(simulation.routers)
+    simulation.messages += 1
+    other = simulation.routers[router.next_peer]
     if other is not router:
       other.loads.take(report, now)
       other.loads.add_up(now)
 
 
-def _tell_tracker(
-    player: Simulation, router: _Router, step: str, sent: _Sent, now: float
+def _report_to_tracker(
+    simulation: Simulation,
+    router: _Router,
+    step: str,
+    sent: _PlacedRequest,
+    now: float,
 ) -> None:
-  """Tells who tracks the endpoint."""
+  """Reports each step of a request to the endpoint's tracker."""
   del router
-  player.messages += 2
+  simulation.messages += 2
   life = sent.place.row.life
   if step == "sent":
-    player.tracker.note_sent(
+    simulation.tracker.note_sent(
         life, sent.name, sent.prompt.prefix, sent.place.reading_s, now
     )
   elif step == "first":
     took_s = now - sent.sent_at
-    player.tracker.note_first(life, sent.place.answer_s, took_s, now)
+    simulation.tracker.note_first(life, sent.place.answer_s, took_s, now)
   else:
-    player.tracker.note_end(life, sent.name, False, now)
+    simulation.tracker.note_end(life, sent.name, False, now)
 
 
 POLICIES = {
-    "hashed": (_choose_hashed, _tell_nobody),
-    "two": (_choose_of_two, _tell_some),
-    "sampled": (_choose_known, _tell_some),
-    "tracked": (_choose_tracked, _tell_tracker),
+    "hashed": (_choose_by_hash, _record_locally),
+    "two": (_choose_of_two, _report_to_sample),
+    "sampled": (_choose_least_loaded, _report_to_sample),
+    "tracked": (_choose_tracked, _report_to_tracker),
 }
-"""How a router chooses, and what it tells others."""
+"""For each policy, how a router chooses an endpoint and what it reports."""
