--- a/mustardfall/bench/experiment.py
+++ b/mustardfall/bench/experiment.py
@@ -1,8 +1,8 @@
 """Compares budget policies over many days in virtual time.
 
-A policy is a file of router settings, laid over those of the deployment.
-Each is played on the same days with the same seeds, so that two policies
-differ by what they do and not by the days they had.
+A policy is a file of router settings that override those of the deployment.
+All policies are simulated on the same days with the same seeds, so that
+differences between their results come from the policies and not the days.
 """
 
 import collections
@@ -19,12 +19,12 @@
 from mustardfall.bench.virtual import days
 from mustardfall.bench.virtual import simulation
 
-_ANYWHERE = {"port": 0}
-"""Stands for addresses, which a day in virtual time has none of."""
+_UNUSED_ADDRESS = {"port": 0}
+"""Placeholder for addresses, which the simulation does not use."""
 
 
 class Job(NamedTuple):
-  """One day to play with one policy."""
+  """One simulation: a day, a policy and a seed."""
 
   policy: str
   config: settings.Router
@@ -32,8 +32,8 @@
   seed: int
 
 
-class Played(NamedTuple):
-  """What came of a job."""
+class Outcome(NamedTuple):
+  """The result of a job."""
 
   policy: str
   day: days.Day
@@ -42,7 +42,7 @@
 
 
 class Figure(NamedTuple):
-  """A mean over days, and its standard error."""
+  """A mean over days and its standard error."""
 
   mean: float
   error: float
@@ -51,11 +51,11 @@
 def read_policy(
     deployed: pathlib.Path, path: pathlib.Path | None
 ) -> settings.Router:
-  """Returns a router's settings under a policy.
+  """Returns a router's settings with those of a policy applied.
 
   Args:
     deployed: the YAML settings of the deployment.
-    path: YAML settings laid over them; None: as deployed.
+    path: the policy's YAML settings, or None for the deployed ones.
   """
   fields = yaml.safe_load(deployed.read_text())
   over = yaml.safe_load(path.read_text()) if path is not None else None
@@ -65,8 +65,8 @@
   addresses = {
       "name": "router",
       "datacentre": "dc",
-      "listen": _ANYWHERE,
-      "peer_listen": _ANYWHERE,
+      "listen": _UNUSED_ADDRESS,
+      "peer_listen": _UNUSED_ADDRESS,
       "kv_url": "",
       "hosts_url": "",
   }
@@ -74,23 +74,23 @@
 
 
 def run(
-    jobs: Iterable[Job], workers: int, note: Callable[[Played], None]
-) -> list[Played]:
-  """Plays all jobs on `workers` processes; `note` hears of each."""
-  played = []
+    jobs: Iterable[Job], workers: int, on_outcome: Callable[[Outcome], None]
+) -> list[Outcome]:
+  """Runs all jobs on `workers` processes; calls `on_outcome` for each."""
+  outcomes = []
   with concurrent.futures.ProcessPoolExecutor(workers) as pool:
-    for one in pool.map(_play, jobs, chunksize=4):
-      note(one)
-      played.append(one)
-  return played
+    for outcome in pool.map(_simulate, jobs, chunksize=4):
+      on_outcome(outcome)
+      outcomes.append(outcome)
+  return outcomes
 
 
-def _play(job: Job) -> Played:
+def _simulate(job: Job) -> Outcome:
   result = simulation.simulate(job.day, job.config, job.seed)
-  return Played(job.policy, job.day, job.seed, result)
+  return Outcome(job.policy, job.day, job.seed, result)
 
 
-_MEASURES: dict[str, Callable[[simulation.Result], float]] = {
+_METRICS: dict[str, Callable[[simulation.Result], float]] = {
     "refused %": lambda r: 100 * r.refused / r.requests,
     "falsely %": lambda r: 100 * r.falsely / r.requests,
     "of it cut %": lambda r: 100 * r.falsely_cut / r.requests,
@@ -102,103 +102,112 @@
 }
 
 
-def add_up(played: Iterable[Played]) -> dict[str, Figure]:
-  """Returns each measure's mean and standard error over days."""
-  results = [one.result for one in played]
+def summarize(outcomes: Iterable[Outcome]) -> dict[str, Figure]:
+  """Returns each metric's mean and standard error over days."""
+  results = [outcome.result for outcome in outcomes]
   found = {}
-  for name, measure in _MEASURES.items():
-    values = [measure(result) for result in results]
-    spread = statistics.stdev(values) if len(values) > 1 else 0.0
+  for name, metric in _METRICS.items():
+    values = [metric(result) for result in results]
+    deviation = statistics.stdev(values) if len(values) > 1 else 0.0
     found[name] = Figure(
-        statistics.fmean(values), spread / max(1, len(values)) ** 0.5
+        statistics.fmean(values), deviation / max(1, len(values)) ** 0.5
     )
   return found
 
 
-def by_trouble(played: list[Played]) -> dict[str, dict[str, Figure]]:
-  """Returns the measures over the days that have each kind of trouble."""
-  kinds = sorted({e.kind for one in played for e in one.day.events})
+def summarize_by_event(outcomes: list[Outcome]) -> dict[str, dict[str, Figure]]:
+  """Returns, for each kind of event, the metrics of the days that have it."""
+  kinds = sorted({e.kind for outcome in outcomes for e in outcome.day.events})
   return {
-      kind: add_up(
-          one
-          for one in played
-          if kind in {event.kind for event in one.day.events}
+      kind: summarize(
+          outcome
+          for outcome in outcomes
+          if kind in {event.kind for event in outcome.day.events}
       )
       for kind in kinds
   }
 
 
-def to_table(played: list[Played]) -> str:
-  """Returns the measures per policy as a Markdown table."""
-  policies = dict.fromkeys(one.policy for one in played)
-  names = list(_MEASURES)
+def to_table(outcomes: list[Outcome]) -> str:
+  """Returns the metrics of each policy as a Markdown table."""
+  policies = dict.fromkeys(outcome.policy for outcome in outcomes)
+  names = list(_METRICS)
   lines = ["| policy | " + " | ".join(names) + " |"]
   lines.append("|---" * (len(names) + 1) + "|")
   for policy in policies:
-    figures = add_up(one for one in played if one.policy == policy)
+    figures = summarize(
+        outcome for outcome in outcomes if outcome.policy == policy
+    )
     cells = [
         f"{figure.mean:.2f} ± {figure.error:.2f}" for figure in figures.values()
     ]
     lines.append(f"| {policy} | " + " | ".join(cells) + " |")
   for policy in policies:
-    lines.append(f"\n{policy}: " + _causes(played, policy))
+    lines.append(f"\n{policy}: " + _format_causes(outcomes, policy))
   return "\n".join(lines)
 
 
-def _causes(played: list[Played], policy: str) -> str:
-  """Returns false refusals a day by cause, the most frequent first."""
-  mine = [one.result for one in played if one.policy == policy]
+def _format_causes(outcomes: list[Outcome], policy: str) -> str:
+  """Returns false refusals per day by cause, the most frequent first."""
+  results = [outcome.result for outcome in outcomes if outcome.policy == policy]
   total: collections.Counter[str] = collections.Counter()
-  for result in mine:
+  for result in results:
     total.update(result.causes)
   return ", ".join(
-      f"{cause} {count / len(mine):.1f}" for cause, count in total.most_common()
+      f"{cause} {count / len(results):.1f}"
+      for cause, count in total.most_common()
   )
 
 
-def write(played: list[Played], folder: pathlib.Path) -> list[pathlib.Path]:
-  """Writes the figures, a table and plots; returns the files."""
+def write(outcomes: list[Outcome], folder: pathlib.Path) -> list[pathlib.Path]:
+  """Writes the figures, a table and, with matplotlib, plots.
+
+  Returns the paths of the files.
+  """
   folder.mkdir(parents=True, exist_ok=True)
   figures = folder / "figures.json"
-  figures.write_text(json.dumps(_figures(played), indent=1))
+  figures.write_text(json.dumps(_figures(outcomes), indent=1))
   table = folder / "table.md"
-  table.write_text(to_table(played) + "\n")
-  return [figures, table, *_plot(played, folder)]
+  table.write_text(to_table(outcomes) + "\n")
+  return [figures, table, *_plot(outcomes, folder)]
 
 
-def _figures(played: list[Played]) -> dict[str, Any]:
-  policies = dict.fromkeys(one.policy for one in played)
+def _figures(outcomes: list[Outcome]) -> dict[str, Any]:
+  policies = dict.fromkeys(outcome.policy for outcome in outcomes)
   return {
       policy: {
-          "all": add_up(mine := [p for p in played if p.policy == policy]),
-          "by trouble": by_trouble(mine),
+          "all": summarize(
+              own_outcomes := [p for p in outcomes if p.policy == policy]
+          ),
+          "by trouble": summarize_by_event(own_outcomes),
           "days": [
               {"day": p.day.name, "seed": p.seed, **p.result._asdict()}
-              for p in mine
+              for p in own_outcomes
           ],
       }
       for policy in policies
   }
 
 
-def _plot(played: list[Played], folder: pathlib.Path) -> list[pathlib.Path]:
-  """Plots false refusals by second and per trouble, one line a policy."""
+def _plot(outcomes: list[Outcome], folder: pathlib.Path) -> list[pathlib.Path]:
+  """Plots false refusals by second and by kind of event, for each policy."""
   try:
     from matplotlib import figure  # noqa: PLC0415  only for reports
   except ImportError:
     return []
-  policies = dict.fromkeys(one.policy for one in played)
-  drawing = figure.Figure(figsize=(9, 7), layout="constrained")
-  over_time, per_kind = drawing.subplots(2, 1)
+  policies = dict.fromkeys(outcome.policy for outcome in outcomes)
+  plot = figure.Figure(figsize=(9, 7), layout="constrained")
+  over_time, per_kind = plot.subplots(2, 1)
   for number, policy in enumerate(policies):
-    mine = [one for one in played if one.policy == policy]
-    last = int(max(one.day.traffic_s for one in mine))
+    own_outcomes = [outcome for outcome in outcomes if outcome.policy == policy]
+    last = int(max(outcome.day.traffic_s for outcome in own_outcomes))
     means = [
-        sum(one.result.seconds.get(second, 0) for one in mine) / len(mine)
+        sum(outcome.result.seconds.get(second, 0) for outcome in own_outcomes)
+        / len(own_outcomes)
         for second in range(last)
     ]
     over_time.plot(range(last), means, label=policy)
-    kinds = by_trouble(mine)
+    kinds = summarize_by_event(own_outcomes)
     places = [
         place + 0.8 * number / len(policies) for place in range(len(kinds))
     ]
@@ -207,10 +216,10 @@
     width = 0.8 / len(policies)
     per_kind.bar(places, heights, width, yerr=errors, label=policy)
     per_kind.set_xticks(range(len(kinds)), list(kinds))
-  over_time.set_xlabel("second of the day")
-  over_time.set_ylabel("false refusals a second")
+  over_time.set_xlabel("time (s)")
+  over_time.set_ylabel("false refusals per second")
   over_time.legend()
-  per_kind.set_ylabel("false refusals, % (days with the trouble)")
+  per_kind.set_ylabel("false refusals (% of requests, on days with the event)")
   path = folder / "refusals.png"
-  drawing.savefig(path)
+  plot.savefig(path)
   return [path]
--- a/mustardfall/bench/placements.py
+++ b/mustardfall/bench/placements.py
@@ -1,4 +1,4 @@
-"""Compares how a large fleet places streams, over seeded days in virtual time."""
+"""Compares policies of placing requests in a large fleet, in virtual time."""
 
 import concurrent.futures
 import json
@@ -13,26 +13,26 @@
     "slow engines": engines.Day(slow=7),
     "hot prefix": engines.Day(hot=0.3),
 }
-"""The days that are played, by name."""
+"""The simulated days, by name."""
 
 
 class Job(NamedTuple):
-  """One day to play with one policy."""
+  """One simulation: a day, a policy and a seed."""
 
   policy: str
   day: str
   seed: int
 
 
-class Played(NamedTuple):
-  """What came of a job."""
+class Outcome(NamedTuple):
+  """The result of a job."""
 
   job: Job
   result: engines.Result
 
 
-def run(policies: list[str], seeds: range, workers: int) -> list[Played]:
-  """Plays each day with each policy on all seeds."""
+def run(policies: list[str], seeds: range, workers: int) -> list[Outcome]:
+  """Simulates each day with each policy and seed."""
   jobs = [
       Job(policy, day, seed)
       for policy in policies
@@ -40,16 +40,16 @@
       for seed in seeds
   ]
   with concurrent.futures.ProcessPoolExecutor(workers) as pool:
-    return list(pool.map(_play, jobs))
+    return list(pool.map(_simulate, jobs))
 
 
-def _play(job: Job) -> Played:
-  player = engines.Simulation(DAYS[job.day], job.policy, job.seed)
-  return Played(job, player.run())
+def _simulate(job: Job) -> Outcome:
+  simulation = engines.Simulation(DAYS[job.day], job.policy, job.seed)
+  return Outcome(job, simulation.run())
 
 
 def _figures(result: engines.Result) -> dict[str, float]:
-  """Returns a result as one table of named figures."""
+  """Returns the figures of a result by name."""
   figures = {f"worth {kind}": part for kind, part in result.worth.items()}
   figures["worth largest"] = result.largest
   figures |= {f"late {kind}": part for kind, part in result.late.items()}
@@ -59,25 +59,29 @@
   return figures
 
 
-def add_up(played: list[Played]) -> dict[str, dict[str, tuple[float, float]]]:
+def summarize(
+    outcomes: list[Outcome],
+) -> dict[str, dict[str, tuple[float, float]]]:
   """Returns each figure's mean and standard error, by day and policy."""
   groups: dict[str, list[dict[str, float]]] = {}
-  for job, result in played:
+  for job, result in outcomes:
     groups.setdefault(f"{job.day}: {job.policy}", []).append(_figures(result))
   return {
-      group: {name: _mean([row[name] for row in rows]) for name in rows[0]}
+      group: {
+          name: _mean_and_error([row[name] for row in rows]) for name in rows[0]
+      }
       for group, rows in groups.items()
   }
 
 
-def _mean(values: list[float]) -> tuple[float, float]:
-  spread = statistics.stdev(values) if len(values) > 1 else 0.0
-  return statistics.fmean(values), spread / len(values) ** 0.5
+def _mean_and_error(values: list[float]) -> tuple[float, float]:
+  deviation = statistics.stdev(values) if len(values) > 1 else 0.0
+  return statistics.fmean(values), deviation / len(values) ** 0.5
 
 
-def to_table(played: list[Played]) -> str:
-  """Returns the figures as a Markdown table, one line a day and policy."""
-  found = add_up(played)
+def to_table(outcomes: list[Outcome]) -> str:
+  """Returns the figures as a Markdown table, one row per day and policy."""
+  found = summarize(outcomes)
   names = list(next(iter(found.values())))
   lines = ["| day: policy | " + " | ".join(names) + " |"]
   lines.append("|---" * (len(names) + 1) + "|")
@@ -87,12 +91,12 @@
   return "\n".join(lines)
 
 
-def write(played: list[Played], folder: pathlib.Path) -> list[pathlib.Path]:
-  """Writes the figures of each day and a table; returns the files."""
+def write(outcomes: list[Outcome], folder: pathlib.Path) -> list[pathlib.Path]:
+  """Writes the figures of all jobs and a table; returns the files' paths."""
   folder.mkdir(parents=True, exist_ok=True)
   figures = folder / "figures.json"
-  rows = [{**job._asdict(), **_figures(result)} for job, result in played]
+  rows = [{**job._asdict(), **_figures(result)} for job, result in outcomes]
   figures.write_text(json.dumps(rows, indent=1))
   table = folder / "table.md"
-  table.write_text(to_table(played) + "\n")
+  table.write_text(to_table(outcomes) + "\n")
   return [figures, table]
