--- a/mustardfall/bench/load.py
+++ b/mustardfall/bench/load.py
@@ -1,9 +1,8 @@
-"""An open-loop load of chat requests, and what its callers saw.
+"""An open-loop load generator for chat requests.
 
-Requests start at random moments (a Poisson process), whether or not
-earlier ones have been answered, as on a real morning. Each is noted with
-its tenant and class, so that overspend and false refusals can be told
-apart for both customers.
+Requests arrive as a Poisson process, independently of the answers to earlier
+ones. Each is recorded with its customer and class, so that overspend and
+false refusals are reported per customer.
 """
 
 import collections
@@ -21,18 +20,18 @@
 from mustardfall.api import chat
 from mustardfall.catalogue import model
 
-_TIMEOUT_S = 40.0
+_REQUEST_TIMEOUT_S = 40.0
 
 
-class Seen(NamedTuple):
-  """What one caller saw of one request."""
+class RequestRecord(NamedTuple):
+  """The outcome of one request from the caller's view."""
 
   customer: str
   klass: str
   outcome: str
   """completed, refused, shed, may_have_run or unreachable."""
   at_s: float
-  """When it was sent, seconds after the load began."""
+  """Time at which it was sent, in seconds after the start of the load."""
   ttft_s: float | None
   took_s: float
   tokens: int
@@ -41,34 +40,34 @@
 
 
 @dataclasses.dataclass
-class Account:
-  """A budget as its callers know it, exact at every moment.
+class BudgetUsage:
+  """The usage of a budget as counted by its callers, always up to date.
 
-  A refusal is a false one when the limit, less all that was used and
-  the most that requests in flight may use, still covers the request.
+  A refusal is false if the limit covers the request in addition to the tokens
+  used and the maximum that requests in flight may use.
   """
 
   limit: int
   used: int = 0
-  """Tokens of whole answers, and those seen of broken ones."""
+  """Tokens of complete answers, and those received of incomplete ones."""
   unsure: int = 0
-  """Tokens more that broken answers may have used."""
+  """Maximum of further tokens that incomplete answers may have used."""
   in_flight: int = 0
 
   def covers(self, tokens: int) -> bool:
-    """Whether the budget can pay for `tokens` more."""
+    """Whether the budget covers `tokens` more."""
     counted = self.used + self.unsure + self.in_flight
     return self.limit - counted >= tokens
 
 
 class Mix(NamedTuple):
-  """What the load is made of.
+  """Parameters of a load.
 
   Args:
-    rate: requests a second, all routers together.
-    seconds: how long requests are sent.
-    words: shortest and longest answer, tokens.
-    weight: relative share of the load per entry.
+    rate: requests per second over all routers.
+    seconds: duration for which requests are sent.
+    words: minimum and maximum length of an answer, in tokens.
+    weight: returns the relative share of the load for an entry.
   """
 
   rate: float
@@ -78,12 +77,12 @@
 
 
 class Load:
-  """Sends a mix of requests and keeps what came of them.
+  """Sends a mix of requests and records their outcomes.
 
   Args:
     entries: the catalogue's entries.
-    routers: returns the routers that the balancer would use now.
-    mix: what to send.
+    routers: returns the URLs of the routers that a load balancer would use.
+    mix: the parameters of the load.
     seed: of the random choices.
   """
 
@@ -99,31 +98,34 @@
     self._routers = routers
     self._mix = mix
     self._rng = random.Random(seed)
-    self.accounts = {e.name: Account(e.tokens) for e in entries}
-    self.seen: list[Seen] = []
+    self.accounts = {e.name: BudgetUsage(e.tokens) for e in entries}
+    self.records: list[RequestRecord] = []
     self.started = time.monotonic()
 
   async def run(self) -> None:
-    """Sends the whole mix and waits for every answer."""
+    """Sends all requests and waits for the answers."""
     limits = httpx.Limits(max_connections=2000, max_keepalive_connections=200)
     self.started = time.monotonic()
     async with (
-        httpx.AsyncClient(timeout=_TIMEOUT_S, limits=limits) as http,
+        httpx.AsyncClient(timeout=_REQUEST_TIMEOUT_S, limits=limits) as http,
         anyio.create_task_group() as tg,
     ):
-      due = self.started
+      next_at = self.started
       end = self.started + self._mix.seconds
       while True:
-        due += self._rng.expovariate(self._mix.rate)
-        if due >= end:
+        next_at += self._rng.expovariate(self._mix.rate)
+        if next_at >= end:
           return
-        await anyio.sleep(max(0.0, due - time.monotonic()))
+        await anyio.sleep(max(0.0, next_at - time.monotonic()))
         entry = self._rng.choices(self._entries, self._weights)[0]
         tg.start_soon(
-            self._one, http, entry, self._rng.randint(*self._mix.words)
+            self._send_and_record,
+            http,
+            entry,
+            self._rng.randint(*self._mix.words),
         )
 
-  async def _one(
+  async def _send_and_record(
       self, http: httpx.AsyncClient, entry: model.EntrySpec, words: int
   ) -> None:
     nonce = f"n{uuid.uuid4().hex[:10]}"
@@ -134,25 +136,25 @@
         "stream": True,
         "stream_options": {"include_usage": True},
     }
-    need = chat.prompt_bound(body) + words
+    max_total_tokens = chat.prompt_bound(body) + words
     account = self.accounts[entry.name]
-    covered = account.covers(need)
-    account.in_flight += need
+    covered = account.covers(max_total_tokens)
+    account.in_flight += max_total_tokens
     sent = time.monotonic()
     try:
-      answer = await self._ask(http, entry, body)
+      answer = await self._send_with_failover(http, entry, body)
     finally:
-      account.in_flight -= need
+      account.in_flight -= max_total_tokens
     used = answer.tokens
     if answer.outcome == "may_have_run":
       used = len(answer.words)
-      account.unsure += need - used
+      account.unsure += max_total_tokens - used
     account.used += used
-    # Covered before and after: the answer of others in flight meanwhile
-    # must not make a true refusal look false.
-    covered = covered and account.covers(need)
-    self.seen.append(
-        Seen(
+    # The budget must cover the request before and after it was sent. Otherwise
+    # a correct refusal would count as false if other requests ended meanwhile.
+    covered = covered and account.covers(max_total_tokens)
+    self.records.append(
+        RequestRecord(
             customer=entry.customer,
             klass=entry.klass.value,
             outcome=answer.outcome,
@@ -166,10 +168,10 @@
         )
     )
 
-  async def _ask(
+  async def _send_with_failover(
       self, http: httpx.AsyncClient, entry: model.EntrySpec, body: dict
   ) -> "_Answer":
-    """Sends one request to a router, to another if none answers there."""
+    """Sends a request, trying other routers if a connection fails."""
     routers = self._routers()
     self._rng.shuffle(routers)
     for router in routers:
@@ -178,7 +180,7 @@
         await self._stream(http, router, entry, body, answer)
         return answer
       except (httpx.ConnectError, httpx.ConnectTimeout):
-        continue  # the balancer tries the next one
+        continue  # Try the next router, as a load balancer does.
       except httpx.HTTPError:
         answer.outcome = "may_have_run"
         return answer
@@ -200,14 +202,14 @@
         answer.outcome = _outcome(reply)
         return
       async for line in reply.aiter_lines():
-        answer.take(line)
+        answer.parse_line(line)
     if not answer.done:
       answer.outcome = "may_have_run"
 
 
 @dataclasses.dataclass
 class _Answer:
-  """One answer as it arrives."""
+  """An answer that is received as an event stream."""
 
   outcome: str = "completed"
   first: float | None = None
@@ -215,8 +217,8 @@
   words: list[str] = dataclasses.field(default_factory=list)
   done: bool = False
 
-  def take(self, line: str) -> None:
-    """Takes one line of the event stream."""
+  def parse_line(self, line: str) -> None:
+    """Parses one line of the event stream."""
     if not line.startswith("data: "):
       return
     if line == "data: [DONE]":
@@ -238,39 +240,45 @@
   return "refused" if reply.status_code == 429 else "shed"
 
 
-def summarise(seen: list[Seen], accounts: dict[str, Account]) -> dict:
-  """Returns counts and times, overall and per tenant and class."""
+def summarise(
+    records: list[RequestRecord], accounts: dict[str, BudgetUsage]
+) -> dict:
+  """Returns counts and latencies, overall and per customer and class."""
   groups = collections.defaultdict(list)
-  for s in seen:
-    groups[f"{s.customer}/{s.klass}"].append(s)
+  for record in records:
+    groups[f"{record.customer}/{record.klass}"].append(record)
   overspend = {n: max(0, a.used - a.limit) for n, a in accounts.items()}
   return {
-      "all": _describe(seen),
+      "all": _describe(records),
       "groups": {name: _describe(g) for name, g in sorted(groups.items())},
       "overspend_tokens": {
           customer: sum(
               n for name, n in overspend.items() if name.startswith(customer)
           )
-          for customer in sorted({s.customer for s in seen})
+          for customer in sorted({record.customer for record in records})
       },
   }
 
 
-def _describe(seen: list[Seen]) -> dict:
-  outcomes = collections.Counter(s.outcome for s in seen)
-  ttft = sorted(s.ttft_s for s in seen if s.outcome == "completed" and s.ttft_s)
+def _describe(records: list[RequestRecord]) -> dict:
+  outcomes = collections.Counter(record.outcome for record in records)
+  ttft = sorted(
+      record.ttft_s
+      for record in records
+      if record.outcome == "completed" and record.ttft_s
+  )
   return {
-      "requests": len(seen),
+      "requests": len(records),
       **dict(sorted(outcomes.items())),
-      "tokens": sum(s.tokens for s in seen),
-      "false_refusals": sum(s.false_refusal for s in seen),
-      "crossed": sum(s.crossed for s in seen),
+      "tokens": sum(record.tokens for record in records),
+      "false_refusals": sum(record.false_refusal for record in records),
+      "crossed": sum(record.crossed for record in records),
       "ttft_ms": {f"p{q}": quantile_ms(ttft, q / 100) for q in (50, 95, 99)},
   }
 
 
 def quantile_ms(ordered: list[float], q: float) -> float | None:
-  """Returns the `q` quantile of ordered seconds, in milliseconds."""
+  """Returns the `q` quantile of sorted times in seconds, in milliseconds."""
   if not ordered:
     return None
   return round(ordered[int(q * (len(ordered) - 1))] * 1e3, 1)
--- a/mustardfall/bench/memory.py
+++ b/mustardfall/bench/memory.py
@@ -1,7 +1,7 @@
-"""Memory slopes of a router's tables, measured in-process with tracemalloc.
+"""Measures the memory per row of a router's tables with tracemalloc.
 
-Prints bytes per catalogue entry in force and per allotment row, the
-two tables whose size grows with the catalogue and the budgets drawn.
+Prints the bytes per catalogue entry and per allotment. These two tables grow
+with the size of the catalogue and the number of budgets in use.
 """
 
 import json
@@ -12,7 +12,7 @@
 from mustardfall.catalogue import model
 from mustardfall.catalogue import table as catalogue_table
 
-_N = 100_000
+_ROW_COUNT = 100_000
 
 
 def _entries(n: int) -> list[model.EntrySpec]:
@@ -30,7 +30,7 @@
   ]
 
 
-def measure(n: int = _N) -> dict[str, float]:
+def measure(n: int = _ROW_COUNT) -> dict[str, float]:
   """Returns bytes per catalogue entry and per allotment row."""
   tracemalloc.start()
   base = tracemalloc.get_traced_memory()[0]
--- a/mustardfall/bench/probe.py
+++ b/mustardfall/bench/probe.py
@@ -1,27 +1,27 @@
-"""Reads a process's CPU time and resident memory from /proc."""
+"""Reads the resource usage of processes and the loopback traffic from /proc."""
 
 import os
 from typing import NamedTuple
 
-_TICKS = os.sysconf("SC_CLK_TCK")
+_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
 class Usage(NamedTuple):
-  """CPU seconds (user + system) and resident set size in bytes."""
+  """CPU time (user + system) in seconds and resident set size in bytes."""
 
   cpu_s: float
   rss_bytes: int
 
 
 def read(pid: int) -> Usage:
-  """Returns the usage of process `pid` so far.
+  """Returns the current usage of process `pid`.
 
   Raises:
-    OSError: the process is gone.
+    OSError: the process does not exist.
   """
   with open(f"/proc/{pid}/stat", encoding="ascii") as f:
     fields = f.read().rsplit(")", 1)[1].split()
-  cpu = (int(fields[11]) + int(fields[12])) / _TICKS
+  cpu = (int(fields[11]) + int(fields[12])) / _TICKS_PER_S
   rss = 0
   with open(f"/proc/{pid}/status", encoding="ascii") as f:
     for line in f:
@@ -31,10 +31,10 @@
 
 
 def read_loopback_bytes() -> int:
-  """Returns bytes received on the loopback interface so far.
+  """Returns the bytes received on the loopback interface since boot.
 
-  Each packet counts once, with its TCP/IP headers. On a machine where
-  only one fleet runs, that is the fleet's traffic.
+  Each packet counts once, including its TCP/IP headers. If nothing else uses
+  the interface, this is the traffic of the fleet.
   """
   with open("/proc/net/dev", encoding="ascii") as f:
     for line in f:
--- a/mustardfall/bench/report.py
+++ b/mustardfall/bench/report.py
@@ -1,4 +1,4 @@
-"""The bench's report: ratios to the baselines, a table, and a plot."""
+"""The report of a bench run: ratios to the baselines, a table and a plot."""
 
 import json
 import pathlib
@@ -15,11 +15,11 @@
     "mahakama": (0.8, 0.2),
     "retourhuis": (0.2, 0.8),
 }
-"""How each customer weighs the brief's two measures."""
+"""Weights of the two costs, overspend and false refusals, for each customer."""
 
 
 def add_ratios(runs: dict[str, dict]) -> dict[str, dict]:
-  """Returns ratios of the design to its baselines, where both were run."""
+  """Returns the ratios of scenarios to their baselines, if both were run."""
   out = {}
   for design, baselines in _BASELINES.items():
     for baseline in baselines:
@@ -46,10 +46,10 @@
 
 
 def weigh(run: dict) -> dict[str, float]:
-  """Returns each customer's cost by its own weighting, lower is better.
+  """Returns each customer's weighted cost; lower is better.
 
-  Overspend counts as a share of the tokens used, false refusals as a
-  share of the requests.
+  Overspend is a share of the tokens used, false refusals are a share of the
+  requests.
   """
   costs = {}
   for customer, (overspend_w, refusal_w) in _WEIGHTS.items():
@@ -63,7 +63,7 @@
 
 
 def to_table(runs: dict[str, dict]) -> str:
-  """Returns a line per scenario, tenant and class, as text."""
+  """Returns a text table with a row per scenario, customer and class."""
   head = (
       f"{'scenario':24}{'tenant/class':24}{'req':>5}{'done':>6}{'refus':>6}"
       f"{'false':>6}{'shed':>6}{'maybe':>6}{'over':>6}{'p50':>8}{'p95':>9}"
@@ -93,7 +93,8 @@
   written[0].write_text(json.dumps(report, indent=1), encoding="utf-8")
   written[1].write_text(to_table(report["runs"]) + "\n", encoding="utf-8")
   try:
-    # An extra (`pip install mustardfall[bench]`): routers need no plots.
+    # Optional dependency (`pip install mustardfall[bench]`), as routers do
+    # not need it.
     from matplotlib import figure  # noqa: PLC0415
   except ImportError:
     return written
@@ -103,22 +104,22 @@
 
 
 def _plot(runs: dict[str, dict], fig):
-  """Draws p95 first tokens, false refusals and KV writes per scenario."""
+  """Plots p95 time to first token, false refusals and KV writes by scenario."""
   groups = sorted({g for run in runs.values() for g in run["groups"]})
   names = list(runs)
   axes = fig.subplots(3, 1, sharex=True)
   width = 0.8 / max(1, len(groups))
   for i, group in enumerate(groups):
-    at = [x + i * width for x in range(len(names))]
+    bar_positions = [x + i * width for x in range(len(names))]
     found = [runs[n]["groups"].get(group) for n in names]
     p95 = [(g["ttft_ms"]["p95"] or 0) if g else 0 for g in found]
     false = [g["false_refusals"] / g["requests"] if g else 0 for g in found]
-    axes[0].bar(at, p95, width, label=group)
-    axes[1].bar(at, false, width, label=group)
+    axes[0].bar(bar_positions, p95, width, label=group)
+    axes[1].bar(bar_positions, false, width, label=group)
   axes[0].set_yscale("log")
-  axes[0].set_ylabel("p95 first token, ms")
+  axes[0].set_ylabel("p95 time to first token (ms)")
   axes[0].legend(fontsize=8, ncols=4)
-  axes[1].set_ylabel("false refusals, share")
+  axes[1].set_ylabel("false refusals (share of requests)")
   middle = [x + 0.4 - width / 2 for x in range(len(names))]
   axes[2].bar(middle, [runs[n]["kv_writes_per_request"] for n in names], 0.6)
   axes[2].set_ylabel("KV writes per request")
--- a/mustardfall/bench/sample.py
+++ b/mustardfall/bench/sample.py
@@ -1,14 +1,14 @@
-"""The embedded sample catalogue: both customers of the brief, 10 teams each."""
+"""The built-in sample catalogue: two customers with ten teams each."""
 
 from mustardfall.budget import policy
 from mustardfall.catalogue import model
 
-_CUSTOMERS = {
-    # customer: (model, classes of its teams in turn)
+_MODEL_AND_CLASSES = {
+    # customer: (model, classes that its teams get alternately)
     "retourhuis": ("appraisal", ("deferrable", "urgent")),
     "mahakama": ("assistant", ("urgent", "deferrable")),
 }
-_WEIGHS = {
+_WEIGHS_BY_CUSTOMER = {
     "retourhuis": policy.Weighs.FALSE_REFUSALS,
     "mahakama": policy.Weighs.OVERSPEND,
 }
@@ -19,12 +19,13 @@
   """Returns the sample catalogue.
 
   Args:
-    tokens: each team's budget.
-    small: the budget of each customer's last team, kept small so that
-      the demo meets refusals and proves they do not overspend.
+    tokens: the limit of each team's budget.
+    small: the limit of the budget of each customer's last team. It is small
+      so that the demo includes refusals and shows that no tokens are
+      overspent.
   """
   entries = []
-  for customer, (model_name, classes) in _CUSTOMERS.items():
+  for customer, (model_name, classes) in _MODEL_AND_CLASSES.items():
     for team in range(1, TEAMS + 1):
       entries.append(
           model.EntrySpec(
@@ -39,6 +40,6 @@
       )
   customers = [
       model.CustomerSpec(name=name, weighs=weighs)
-      for name, weighs in _WEIGHS.items()
+      for name, weighs in _WEIGHS_BY_CUSTOMER.items()
   ]
   return model.CatalogueSpec(customers=customers, entries=entries)
--- a/mustardfall/bench/scenarios.py
+++ b/mustardfall/bench/scenarios.py
@@ -350,10 +350,10 @@
     after: dict,
     cpu_s: float,
 ) -> dict:
-  seen = stage.load.seen
-  requests = max(1, len(seen))
+  records = stage.load.records
+  requests = max(1, len(records))
   accounts = stage.load.accounts
-  report = load.summarise(seen, accounts)
+  report = load.summarise(records, accounts)
   report.update(
       scenario=name,
       kv_writes_per_request=round(
--- a/mustardfall/bench/slopes.py
+++ b/mustardfall/bench/slopes.py
@@ -234,7 +234,7 @@
         "kv_writes_s": round((after["writes"] - before["writes"]) / 8.0, 2),
         "kv_reads_s": round((after["reads"] - before["reads"]) / 8.0, 2),
         "peer_calls_per_request": round(
-            (await _peer_calls(bed) - peer_before) / len(runner.seen), 2
+            (await _peer_calls(bed) - peer_before) / len(runner.records), 2
         ),
     }
 
