--- a/mustardfall/bench/fleet.py
+++ b/mustardfall/bench/fleet.py
@@ -1,8 +1,8 @@
 """Starts stand-ins and routers as separate processes on loopback ports.
 
 Each process gets its own YAML settings file and is started with the
-`mustardfall` command line, as an operator would; `Fleet.stop` sends
-SIGTERM to each and waits, so that nothing is left behind.
+`mustardfall` command line, as an operator would. `Fleet.stop` sends
+SIGTERM to each and waits for its exit, so that no process is left running.
 """
 
 import contextlib
@@ -26,17 +26,17 @@
 
 
 _PORTS = range(10_240, 32_000)
-"""Below the range from which the system takes ports for connections."""
+"""Ports below the ephemeral range, which the system uses for outgoing
+connections."""
 _taken: set[int] = set()
 
 
 def free_port() -> int:
-  """Returns a TCP port on 127.0.0.1 that stays free until it is used.
+  """Returns a TCP port on 127.0.0.1 that is free and is returned only once.
 
-  A port that the system names as free may be given to an outgoing
-  connection before the process that it is meant for binds it: with 24
-  routers one failed to start for that. So ports come from outside that
-  range, and none is named twice.
+  The port is outside the ephemeral range. The system may assign an ephemeral
+  port to an outgoing connection before the intended process binds it; with
+  24 routers, one failed to start for this reason.
   """
   while True:
     port = random.choice(_PORTS)
@@ -53,7 +53,7 @@
 
 @dataclasses.dataclass
 class Process:
-  """One started process and where it listens."""
+  """A started process and its URL."""
 
   name: str
   url: str
@@ -64,7 +64,7 @@
   """A set of processes started from settings; a context manager.
 
   Args:
-    workdir: where settings files and logs go; a temporary one if None.
+    workdir: directory for settings files and logs; temporary if None.
   """
 
   def __init__(self, workdir: str | None = None) -> None:
@@ -72,7 +72,7 @@
     self.dir = pathlib.Path(workdir or self._tmp.name)
     self.procs: dict[str, Process] = {}
     self.admin: dict[str, str] = {}
-    """A router's URL for callers to its URL for operators."""
+    """Maps a router's URL for callers to its URL for operators."""
 
   def start(self, role: list[str], name: str, config) -> Process:
     """Writes `config` as YAML and starts `mustardfall ROLE --config`."""
@@ -111,7 +111,7 @@
       time.sleep(0.05)
 
   def log(self, name: str) -> str:
-    """Returns what process `name` has written so far."""
+    """Returns the output of process `name` so far."""
     return (self.dir / f"{name}.log").read_text(errors="replace")
 
   def signal(self, name: str, signum: int) -> None:
@@ -119,7 +119,7 @@
     self.procs[name].popen.send_signal(signum)
 
   def stop(self, timeout_s: float = 30.0) -> dict[str, int]:
-    """SIGTERMs every process and waits; returns exit codes by name."""
+    """Sends SIGTERM to every process and waits; returns exit codes by name."""
     for proc in self.procs.values():
       if proc.popen.poll() is None:
         proc.popen.send_signal(signal.SIGTERM)
@@ -154,10 +154,10 @@
   """Starts the KV, one engine per data centre, a service and the host list.
 
   Args:
-    fleet: where to start them.
-    datacentres: one engine each.
-    engine: settings of the engines, over the defaults.
-    hosts_lag_s: the host list's lag.
+    fleet: the fleet to which the processes are added.
+    datacentres: the data centres; each gets one engine.
+    engine: settings of the engines that override the defaults.
+    hosts_lag_s: delay with which the host list shows changes, in seconds.
 
   Returns:
     URLs by name: `kv`, `hosts`, `engine-<dc>`, `service`.
@@ -209,7 +209,7 @@
 def router_settings(
     name: str, datacentre: str, urls: dict[str, str], **overrides
 ) -> settings.Router:
-  """Returns settings for a router on a free port of the given platform."""
+  """Returns settings for a router on free ports that uses the platform."""
   return settings.Router(
       name=name,
       datacentre=datacentre,
--- a/mustardfall/bench/scenarios.py
+++ b/mustardfall/bench/scenarios.py
@@ -1,8 +1,8 @@
-"""Named experiments: a load, the troubles it meets, and the design.
+"""Named scenarios: a load, the faults injected and the settings under test.
 
-Each runs on a fresh fleet of real processes. `troubles` runs beside the
-load and breaks things at set times; what the callers saw, what the
-ledgers say and what the KV counted go into the report.
+Each scenario runs on a new fleet of real processes. `faults` runs concurrently
+with the load and injects faults at fixed times. The report combines the
+callers' records, the ledgers and the KV's counters.
 """
 
 from collections.abc import Awaitable, Callable
@@ -31,9 +31,9 @@
 
 _MEMBERSHIP = settings.Membership(ttl_s=2, grace_s=1.5, watch_idle_s=3.0)
 
-DESIGN = settings.Allotment()
+OWNED_GRANTS = settings.Allotment()
 ROUTER_GRANTS = settings.Allotment(owned=False)
-"""Baseline: each router takes grants by itself, no owners."""
+"""Baseline: each router takes grants itself; budgets have no owners."""
 PER_REQUEST = settings.Allotment(
     owned=False,
     min_tokens=1,
@@ -42,11 +42,11 @@
     term_s=0.001,
     low_mark=0.0,
 )
-"""Baseline: a compare-and-swap per request, and one to settle it."""
+"""Baseline: two compare-and-swaps per request, to reserve and to settle."""
 
 
-class Stage:
-  """A running fleet under load, as the troubles see it."""
+class Environment:
+  """A running fleet under load, on which faults are injected."""
 
   def __init__(
       self, fleet: fleet_lib.Fleet, urls: dict[str, str], routers: list[str]
@@ -56,121 +56,121 @@
     self.routers = {
         f"router-{i}": url for i, url in enumerate(routers, start=1)
     }
-    self.out: set[str] = set()
-    """Routers that the balancer has taken out."""
+    self.removed: set[str] = set()
+    """Routers that the load balancer has removed."""
     self.load: load.Load | None = None
     self.notes: dict[str, object] = {}
 
   def in_service(self) -> list[str]:
-    """Returns the routers that the balancer sends callers to."""
-    return [u for n, u in self.routers.items() if n not in self.out]
+    """Returns the routers that the load balancer uses."""
+    return [u for n, u in self.routers.items() if n not in self.removed]
 
   async def inject(self, **faults) -> None:
-    """Sets faults of the KV stand-in."""
+    """Sets faults in the KV stand-in."""
     async with httpx.AsyncClient() as http:
       await http.post(self.urls["kv"] + "/standin/faults", json=faults)
 
-  async def operate(self, fn: Callable[[kv_client.Client], Awaitable]):
-    """Does something as an operator, on a KV client of its own."""
+  async def operate(self, action: Callable[[kv_client.Client], Awaitable]):
+    """Runs `action` with a KV client of an operator."""
     kv = kv_client.Client(self.urls["kv"], "operator")
     try:
-      return await fn(kv)
+      return await action(kv)
     finally:
       await kv.close()
 
   async def top_up(self, name: str, tokens: int, op: str) -> None:
-    """Tops a budget up, once, for the callers' accounts too."""
+    """Raises a budget's limit, also in the callers' count of its usage."""
     change = ledger.TopUp(tokens, op)
     await self.operate(lambda kv: ledger.write(kv, name, change))
     self.load.accounts[name].limit += tokens
 
 
-Troubles = Callable[[Stage], Awaitable[None]]
+FaultSchedule = Callable[[Environment], Awaitable[None]]
 
 
-async def _calm(_: Stage) -> None:
+async def _no_faults(_: Environment) -> None:
   pass
 
 
-async def _kv_outage(stage: Stage) -> None:
+async def _kv_outage(environment: Environment) -> None:
   await anyio.sleep(3.0)
-  await stage.inject(down=True)
+  await environment.inject(down=True)
   await anyio.sleep(4.0)
-  await stage.inject(down=False)
+  await environment.inject(down=False)
 
 
-async def _kv_slow(stage: Stage) -> None:
+async def _kv_slow(environment: Environment) -> None:
   await anyio.sleep(2.0)
-  await stage.inject(delay_s=0.4)
+  await environment.inject(delay_s=0.4)
   await anyio.sleep(6.0)
-  await stage.inject(delay_s=0.0)
+  await environment.inject(delay_s=0.0)
 
 
-async def _kv_lost_replies(stage: Stage) -> None:
+async def _kv_lost_replies(environment: Environment) -> None:
   for _ in range(12):
     await anyio.sleep(0.7)
-    await stage.inject(lose_replies=3)
+    await environment.inject(lose_replies=3)
 
 
-async def _partition_with_top_up(stage: Stage) -> None:
-  """Two routers lose the KV; small budgets are topped up meanwhile."""
+async def _partition_with_top_up(environment: Environment) -> None:
+  """Two routers cannot reach the KV while small budgets are topped up."""
   await anyio.sleep(2.0)
-  await stage.inject(blocked=["router-1", "router-2"])
+  await environment.inject(blocked=["router-1", "router-2"])
   for i in range(5):
     await anyio.sleep(1.0)
     for entry in sample.catalogue().entries:
       if entry.team == f"t{sample.TEAMS}":
-        await stage.top_up(entry.name, 300, f"top-{i}")
-  await stage.inject(blocked=[])
+        await environment.top_up(entry.name, 300, f"top-{i}")
+  await environment.inject(blocked=[])
 
 
-async def _router_kill(stage: Stage) -> None:
-  """Two routers are killed with streams open, and nobody replaces them."""
+async def _router_kill(environment: Environment) -> None:
+  """Two routers are killed with open streams, and are not replaced."""
   for name in ("router-1", "router-2"):
     await anyio.sleep(2.5)
-    stage.fleet.signal(name, signal.SIGKILL)
+    environment.fleet.signal(name, signal.SIGKILL)
     await anyio.sleep(0.5)
-    stage.out.add(name)
+    environment.removed.add(name)
 
 
-async def _router_freeze(stage: Stage) -> None:
-  """A router is paused past its lease and wakes unaware."""
+async def _router_freeze(environment: Environment) -> None:
+  """A router is paused for longer than its lease, then resumed."""
   await anyio.sleep(2.0)
-  stage.fleet.signal("router-1", signal.SIGSTOP)
+  environment.fleet.signal("router-1", signal.SIGSTOP)
   await anyio.sleep(0.5)
-  stage.out.add("router-1")
+  environment.removed.add("router-1")
   await anyio.sleep(4.5)
-  stage.fleet.signal("router-1", signal.SIGCONT)
-  stage.out.discard("router-1")
+  environment.fleet.signal("router-1", signal.SIGCONT)
+  environment.removed.discard("router-1")
 
 
-async def _rolling_restart(stage: Stage) -> None:
-  """Routers are stopped one after the other while they serve."""
+async def _rolling_restart(environment: Environment) -> None:
+  """Routers are stopped one after the other under load."""
   for name in ("router-1", "router-2", "router-3"):
     await anyio.sleep(2.0)
-    stage.fleet.signal(name, signal.SIGTERM)
-    await anyio.sleep(0.4)  # the balancer's next look at its readiness
-    stage.out.add(name)
+    environment.fleet.signal(name, signal.SIGTERM)
+    await anyio.sleep(0.4)  # until the load balancer's next readiness check
+    environment.removed.add(name)
 
 
-async def _engines_leave(stage: Stage) -> None:
-  """An engine leaves, and what it gets after two seconds is counted."""
+async def _engines_leave(environment: Environment) -> None:
+  """An engine leaves; the requests it gets two seconds later are counted."""
   await anyio.sleep(2.0)
   name = "engine-lier-a"
-  url = stage.urls[name]
+  url = environment.urls[name]
   entry = {"name": name, "url": url, "datacentre": "lier-a", "kind": "engine"}
   entry |= {"models": ["appraisal", "assistant"], "state": "leaving"}
   async with httpx.AsyncClient() as http:
-    await http.post(stage.urls["hosts"] + "/hosts", json=entry)
+    await http.post(environment.urls["hosts"] + "/hosts", json=entry)
     await anyio.sleep(2.0)
     before = (await http.get(url + "/standin/stats")).json()["requests"]
     await anyio.sleep(4.0)
     after = (await http.get(url + "/standin/stats")).json()["requests"]
-  stage.notes["new_work_after_2s"] = after - before
+  environment.notes["new_work_after_2s"] = after - before
 
 
-async def _operators_race(stage: Stage) -> None:
-  """Three operators edit at once; accepted changes must never revert."""
+async def _operators_race(environment: Environment) -> None:
+  """Three operators edit concurrently; no router may revert a change."""
   accepted, lost, reverts = [], 0, 0
   last: dict[str, int] = {}
   lags = []
@@ -181,33 +181,35 @@
 
       tag = f"{name}-{i}"
       try:
-        revision = await stage.operate(functools.partial(_retag, tag=tag))
+        revision = await environment.operate(
+            functools.partial(_set_team, tag=tag)
+        )
       except errors.CatalogueRaceLostError:
         lost += 1
         continue
       accepted.append(revision)
       started = time.monotonic()
-      await _until_in_force(stage, revision)
+      await _wait_in_force(environment, revision)
       lags.append(time.monotonic() - started)
 
-  async def _watch() -> None:
+  async def _count_reverts() -> None:
     nonlocal reverts
     async with httpx.AsyncClient() as http:
       while True:
-        for url in stage.in_service():
-          got = (await http.get(stage.fleet.admin[url] + "/stats")).json()
+        for url in environment.in_service():
+          got = (await http.get(environment.fleet.admin[url] + "/stats")).json()
           revision = got["catalogue_revision"]
           reverts += revision < last.get(url, 0)
           last[url] = revision
         await anyio.sleep(0.05)
 
-  async with anyio.create_task_group() as watching:
-    watching.start_soon(_watch)
+  async with anyio.create_task_group() as watcher:
+    watcher.start_soon(_count_reverts)
     async with anyio.create_task_group() as tg:
       for name in ("ann", "bert", "cleo"):
         tg.start_soon(_edit, name)
-    watching.cancel_scope.cancel()
-  stage.notes.update(
+    watcher.cancel_scope.cancel()
+  environment.notes.update(
       accepted=len(accepted),
       told_lost=lost,
       reverts=reverts,
@@ -215,8 +217,8 @@
   )
 
 
-async def _retag(kv: kv_client.Client, tag: str) -> int:
-  """Makes an edit that touches one entry's team."""
+async def _set_team(kv: kv_client.Client, tag: str) -> int:
+  """Changes the team of one entry; returns the revision."""
   revision, spec = await store.read(kv)
   entries = list(spec.entries)
   entries[0] = entries[0].model_copy(update={"team": tag})
@@ -226,17 +228,17 @@
   return await store.apply(kv, edit)
 
 
-async def _until_in_force(stage: Stage, revision: int) -> None:
+async def _wait_in_force(environment: Environment, revision: int) -> None:
   async with httpx.AsyncClient() as http:
-    for url in stage.in_service():
+    for url in environment.in_service():
       while True:
-        got = (await http.get(stage.fleet.admin[url] + "/stats")).json()
+        got = (await http.get(environment.fleet.admin[url] + "/stats")).json()
         if got["catalogue_revision"] >= revision:
           break
         await anyio.sleep(0.005)
 
 
-def _evenly(entry: model.EntrySpec) -> float:
+def _weigh_all(entry: model.EntrySpec) -> float:
   return 3.0 if entry.team == f"t{sample.TEAMS}" else 1.0
 
 
@@ -245,23 +247,23 @@
 
 
 class Scenario(NamedTuple):
-  """One experiment."""
+  """Parameters of one scenario."""
 
-  troubles: Troubles = _calm
-  allotment: settings.Allotment = DESIGN
+  faults: FaultSchedule = _no_faults
+  allotment: settings.Allotment = OWNED_GRANTS
   scheduler: settings.Scheduler = settings.Scheduler()
   tokens: int = 200_000
   small: int = 1_500
   rate: float = RATE
   words: tuple[int, int] = (4, 40)
-  weight: Callable[[model.EntrySpec], float] = _evenly
+  weight: Callable[[model.EntrySpec], float] = _weigh_all
   engine_slots: int = 16
 
 
-_NO_LIMIT = settings.Scheduler(
+_ENGINE_QUEUES = settings.Scheduler(
     policy="fifo", target_s=1000.0, initial_limit=64.0
 )
-"""Baseline: all is sent at once, and waits in the engines' own queues."""
+"""Baseline: requests are sent at once and wait in the engines' queues."""
 _TIGHT = Scenario(tokens=1_200, small=600)
 _OVERLOAD = Scenario(
     rate=90.0, words=(40, 160), weight=_mostly_deferrable, engine_slots=4
@@ -277,7 +279,7 @@
     "overload_fifo": _OVERLOAD._replace(
         scheduler=settings.Scheduler(policy="fifo")
     ),
-    "overload_engine_queue": _OVERLOAD._replace(scheduler=_NO_LIMIT),
+    "overload_engine_queue": _OVERLOAD._replace(scheduler=_ENGINE_QUEUES),
     "kv_outage": Scenario(_kv_outage),
     "kv_slow": Scenario(_kv_slow),
     "kv_lost_replies": Scenario(_kv_lost_replies),
@@ -297,7 +299,7 @@
 
 
 async def run(name: str, seed: int, seconds: float = SECONDS) -> dict:
-  """Runs one scenario on a fresh fleet; returns its part of the report."""
+  """Runs one scenario on a new fleet; returns its part of the report."""
   scenario = SCENARIOS[name]
   catalogue = sample.catalogue(scenario.tokens, scenario.small)
   with fleet_lib.Fleet() as fleet:
@@ -319,40 +321,44 @@
         lame_duck_s=1.0,
     )
     await anyio.to_thread.run_sync(fleet.wait_ready)
-    await anyio.sleep(1.0)  # routers see the host list and each other
-    stage = Stage(fleet, urls, routers)
+    await anyio.sleep(1.0)  # until routers know the host list and each other
+    environment = Environment(fleet, urls, routers)
     mix = load.Mix(scenario.rate, seconds, scenario.words, scenario.weight)
-    stage.load = load.Load(catalogue.entries, stage.in_service, mix, seed)
+    environment.load = load.Load(
+        catalogue.entries, environment.in_service, mix, seed
+    )
     before = await _count_kv(urls)
     cpu = _router_cpu(fleet)
     async with anyio.create_task_group() as tg:
-      tg.start_soon(scenario.troubles, stage)
-      tg.start_soon(stage.load.run)
+      tg.start_soon(scenario.faults, environment)
+      tg.start_soon(environment.load.run)
     cpu = _router_cpu(fleet) - cpu
-    await stage.inject(down=False, delay_s=0.0, blocked=[], lose_replies=0)
-    for proc in stage.routers:
+    await environment.inject(
+        down=False, delay_s=0.0, blocked=[], lose_replies=0
+    )
+    for proc in environment.routers:
       if fleet.procs[proc].popen.poll() is None:
         fleet.signal(proc, signal.SIGTERM)
-    for proc in stage.routers:
+    for proc in environment.routers:
       await anyio.to_thread.run_sync(fleet.procs[proc].popen.wait)
     after = await _count_kv(urls)
     ledgers = {e.name: await ledger.read(kv, e.name) for e in catalogue.entries}
     await kv.close()
     await anyio.to_thread.run_sync(fleet.stop)
-  return _report(name, stage, ledgers, before, after, cpu)
+  return _report(name, environment, ledgers, before, after, cpu)
 
 
 def _report(
     name: str,
-    stage: Stage,
+    environment: Environment,
     ledgers: dict[str, ledger.Ledger],
     before: dict,
     after: dict,
     cpu_s: float,
 ) -> dict:
-  records = stage.load.records
+  records = environment.load.records
   requests = max(1, len(records))
-  accounts = stage.load.accounts
+  accounts = environment.load.accounts
   report = load.summarise(records, accounts)
   report.update(
       scenario=name,
@@ -374,7 +380,7 @@
       stranded_tokens=sum(
           sum(found["grants"].values()) for found in ledgers.values()
       ),
-      notes=stage.notes,
+      notes=environment.notes,
   )
   return report
 
--- a/mustardfall/bench/slopes.py
+++ b/mustardfall/bench/slopes.py
@@ -1,9 +1,9 @@
-"""The slopes that docs/CAPACITY.md extrapolates, from real processes.
+"""Measures the unit costs that docs/CAPACITY.md extrapolates.
 
-Each part starts a small fleet, varies one thing, and reports what it
-costs a router or the KV: processor time per request and per token,
-memory per open stream, control costs while idle, and how long a
-catalogue change takes to be in force against the number of routers.
+Each measurement starts a small fleet of real processes, varies one parameter
+and reports the cost for a router or the KV: processor time per request and
+per token, memory per open stream, control costs while idle, and the time until
+a catalogue change is in force for different numbers of routers.
 """
 
 import statistics
@@ -22,17 +22,18 @@
 from mustardfall.kv import client as kv_client
 
 _IDLE_S = 6.0
-"""Seconds over which idle (control-only) costs are sampled."""
-_CHANGES = 7
-"""Catalogue changes timed for each number of routers."""
-_STREAMS = (50, 300)
-"""Open streams compared, to get the memory of one."""
-_ANSWERS = ((20, 150), (320, 40))
-"""Answer lengths (tokens) and counts compared, to split processor time."""
+"""Time over which the costs of an idle fleet (control only) are measured."""
+_CHANGE_COUNT = 7
+"""Number of catalogue changes that are timed per number of routers."""
+_STREAM_COUNTS = (50, 300)
+"""Numbers of open streams; the difference gives the memory of one stream."""
+_LENGTHS_AND_COUNTS = ((20, 150), (320, 40))
+"""Pairs of answer length in tokens and number of answers. Two lengths separate
+the processor time per request from that per token."""
 
 
-class _Bed:
-  """A running fleet and what its routers have cost so far."""
+class _TestFleet:
+  """A running fleet and the resource usage of its processes."""
 
   def __init__(self, fleet, urls, routers) -> None:
     self.urls = urls
@@ -54,7 +55,7 @@
       return (await http.get(self.urls["kv"] + "/standin/stats")).json()
 
 
-async def _with_bed(routers: int, measure, tokens_per_s=400.0) -> dict:
+async def _with_fleet(routers: int, measure, tokens_per_s=400.0) -> dict:
   engine = {"slots": 400, "tokens_per_s": tokens_per_s}
   with fleet_lib.Fleet() as fleet:
     urls = await anyio.to_thread.run_sync(
@@ -68,13 +69,15 @@
     await anyio.to_thread.run_sync(lambda: fleet.wait_ready(60.0))
     await anyio.sleep(2.0)
     try:
-      return await measure(_Bed(fleet, urls, urls_r), kv)
+      return await measure(_TestFleet(fleet, urls, urls_r), kv)
     finally:
       await kv.close()
       await anyio.to_thread.run_sync(fleet.stop)
 
 
-async def _ask(http, url: str, entry: model.EntrySpec, words: int) -> int:
+async def _stream_answer(
+    http, url: str, entry: model.EntrySpec, words: int
+) -> int:
   """Streams one answer; returns its tokens."""
   body = {
       "model": entry.model,
@@ -94,24 +97,26 @@
 
 
 async def processor_time() -> dict:
-  """Splits a router's processor time into per request and per token.
+  """Measures a router's processor time per request and per token.
 
-  Two loads with short and long answers on one router give two equations.
+  Loads with short and with long answers on one router give two equations.
   """
 
-  async def _measure(bed: _Bed, _) -> dict:
+  async def _measure(test_fleet: _TestFleet, _) -> dict:
     entries = sample.catalogue().entries[:8]
     points = []
     async with httpx.AsyncClient(timeout=60) as http:
-      await _ask(http, bed.routers[0], entries[0], 20)
-      for words, count in _ANSWERS:
-        before = bed.cpu_s()
+      await _stream_answer(http, test_fleet.routers[0], entries[0], 20)
+      for words, count in _LENGTHS_AND_COUNTS:
+        before = test_fleet.cpu_s()
         async with anyio.create_task_group() as tg:
           for i in range(count):
             entry = entries[i % len(entries)]
-            tg.start_soon(_ask, http, bed.routers[0], entry, words)
+            tg.start_soon(
+                _stream_answer, http, test_fleet.routers[0], entry, words
+            )
             await anyio.sleep(0.02)
-        points.append((words, (bed.cpu_s() - before) / count))
+        points.append((words, (test_fleet.cpu_s() - before) / count))
     (w1, c1), (w2, c2) = points
     per_token = (c2 - c1) / (w2 - w1)
     return {
@@ -122,56 +127,62 @@
         ],
     }
 
-  return await _with_bed(1, _measure)
+  return await _with_fleet(1, _measure)
 
 
 async def stream_memory() -> dict:
   """Measures a router's memory per open stream."""
 
-  async def _measure(bed: _Bed, _) -> dict:
+  async def _measure(test_fleet: _TestFleet, _) -> dict:
     entry = sample.catalogue().entries[0]
     sizes = []
     limits = httpx.Limits(max_connections=1000)
-    for count in _STREAMS:
+    for count in _STREAM_COUNTS:
       async with (
           httpx.AsyncClient(timeout=60, limits=limits) as http,
           anyio.create_task_group() as tg,
       ):
         for _ in range(count):
-          tg.start_soon(_ask, http, bed.routers[0], entry, 4000)
+          tg.start_soon(
+              _stream_answer, http, test_fleet.routers[0], entry, 4000
+          )
         await anyio.sleep(3.0)
-        sizes.append(bed.rss_mb())
+        sizes.append(test_fleet.rss_mb())
         tg.cancel_scope.cancel()
       await anyio.sleep(1.0)
-    per_stream = (sizes[1] - sizes[0]) / (_STREAMS[1] - _STREAMS[0])
+    per_stream = (sizes[1] - sizes[0]) / (_STREAM_COUNTS[1] - _STREAM_COUNTS[0])
     return {
         "kb_per_open_stream": round(per_stream * 1024, 1),
         "rss_mb": [round(s, 1) for s in sizes],
-        "streams": list(_STREAMS),
+        "streams": list(_STREAM_COUNTS),
     }
 
-  # Slow engines: the streams shall be open, not busy.
-  return await _with_bed(1, _measure, tokens_per_s=5.0)
+  # Slow engines keep the streams open without much traffic.
+  return await _with_fleet(1, _measure, tokens_per_s=5.0)
 
 
 async def control(routers: int) -> dict:
-  """Measures idle costs, and a catalogue change's way to every router."""
+  """Measures idle costs and the time until a change is in force everywhere."""
 
-  async def _measure(bed: _Bed, kv) -> dict:
-    stats, cpu, kv_cpu = await bed.kv_stats(), bed.cpu_s(), _cpu(bed.kv_pid)
+  async def _measure(test_fleet: _TestFleet, kv) -> dict:
+    stats, cpu, kv_cpu = (
+        await test_fleet.kv_stats(),
+        test_fleet.cpu_s(),
+        _cpu(test_fleet.kv_pid),
+    )
     wire = probe.read_loopback_bytes()
     await anyio.sleep(_IDLE_S)
-    per_router_s = len(bed.pids) * _IDLE_S
-    idle_cpu = (bed.cpu_s() - cpu) / per_router_s
-    idle_kv_cpu = (_cpu(bed.kv_pid) - kv_cpu) / per_router_s
+    per_router_s = len(test_fleet.pids) * _IDLE_S
+    idle_cpu = (test_fleet.cpu_s() - cpu) / per_router_s
+    idle_kv_cpu = (_cpu(test_fleet.kv_pid) - kv_cpu) / per_router_s
     idle_wire = (probe.read_loopback_bytes() - wire) / per_router_s
-    after = await bed.kv_stats()
-    times = await _time_changes(bed, kv)
+    after = await test_fleet.kv_stats()
+    times = await _time_changes(test_fleet, kv)
     return {
         "routers": routers,
         "in_force_ms_median": round(statistics.median(times) * 1e3, 1),
         "in_force_ms_max": round(max(times) * 1e3, 1),
-        "idle_rss_mb": round(bed.rss_mb() / len(bed.pids), 1),
+        "idle_rss_mb": round(test_fleet.rss_mb() / len(test_fleet.pids), 1),
         "idle_cpu_percent": round(idle_cpu * 100, 2),
         "idle_wire_kb_s": round(idle_wire / 1024, 2),
         "kv_cpu_percent_per_router": round(idle_kv_cpu * 100, 3),
@@ -183,80 +194,92 @@
         ),
     }
 
-  return await _with_bed(routers, _measure)
+  return await _with_fleet(routers, _measure)
 
 
 def _cpu(pid: int) -> float:
   return probe.read(pid).cpu_s
 
 
-async def _time_changes(bed: _Bed, kv: kv_client.Client) -> list[float]:
-  """Times catalogue changes until each router has them in force.
+async def _time_changes(
+    test_fleet: _TestFleet, kv: kv_client.Client
+) -> list[float]:
+  """Returns, for each change, the time until all routers have it in force.
 
-  From the start of the operator's command. The routers note when a
-  revision came into force; asking them only after that keeps the bench's
-  own polling out of the figure.
+  The time starts with the operator's command. Routers record when a revision
+  came into force. They are queried only afterwards, so that polling does not
+  affect the measurement.
   """
   spec = sample.catalogue()
   times = []
   async with httpx.AsyncClient() as http:
-    for i in range(_CHANGES):
+    for i in range(_CHANGE_COUNT):
       entries = spec.entries[: 10 + i]
       change = model.CatalogueSpec(customers=spec.customers, entries=entries)
       started = time.time()
       revision = await store.apply(kv, change)
       await anyio.sleep(1.5)
       worst = 0.0
-      for url in bed.routers:
-        got = (await http.get(bed.admin[url] + "/stats")).json()
+      for url in test_fleet.routers:
+        got = (await http.get(test_fleet.admin[url] + "/stats")).json()
         if got["catalogue_revision"] < revision:
-          raise RuntimeError(f"{url}: {revision} not in force after 1.5 s")
+          raise RuntimeError(
+              f"{url}: catalogue revision {revision} not in force after 1.5 s"
+          )
         worst = max(worst, got["catalogue_since"] - started)
       times.append(worst)
   return times
 
 
 async def allotment_writes() -> dict:
-  """Measures KV writes against requests and budgets drawn, 6 routers."""
+  """Measures KV calls by request rate and number of budgets, with 6 routers."""
   out = []
 
-  async def _measure(bed: _Bed, _, rate: float, budgets: int) -> dict:
+  async def _measure(
+      test_fleet: _TestFleet, _, rate: float, budgets: int
+  ) -> dict:
     entries = sample.catalogue(tokens=50_000_000).entries[:budgets]
     mix = load.Mix(rate, 8.0, (4, 30), lambda _: 1.0)
-    runner = load.Load(entries, lambda: list(bed.routers), mix, 3)
-    before = await bed.kv_stats()
-    peer_before = await _peer_calls(bed)
+    runner = load.Load(entries, lambda: list(test_fleet.routers), mix, 3)
+    before = await test_fleet.kv_stats()
+    peer_before = await _peer_calls(test_fleet)
     await runner.run()
-    after = await bed.kv_stats()
+    after = await test_fleet.kv_stats()
     return {
         "rate": rate,
         "budgets": budgets,
         "kv_writes_s": round((after["writes"] - before["writes"]) / 8.0, 2),
         "kv_reads_s": round((after["reads"] - before["reads"]) / 8.0, 2),
         "peer_calls_per_request": round(
-            (await _peer_calls(bed) - peer_before) / len(runner.records), 2
+            (await _peer_calls(test_fleet) - peer_before) / len(runner.records),
+            2,
         ),
     }
 
   for rate, budgets in ((30.0, 4), (120.0, 4), (30.0, 18), (120.0, 18)):
     out.append(
-        await _with_bed(
-            6, lambda bed, kv, r=rate, b=budgets: _measure(bed, kv, r, b)
+        await _with_fleet(
+            6,
+            lambda test_fleet, kv, r=rate, b=budgets: _measure(
+                test_fleet, kv, r, b
+            ),
         )
     )
   return {"points": out}
 
 
-async def _peer_calls(bed: _Bed) -> int:
+async def _peer_calls(test_fleet: _TestFleet) -> int:
   total = 0
   async with httpx.AsyncClient() as http:
-    for url in bed.routers:
-      total += (await http.get(bed.admin[url] + "/stats")).json()["peer_calls"]
+    for url in test_fleet.routers:
+      total += (await http.get(test_fleet.admin[url] + "/stats")).json()[
+          "peer_calls"
+      ]
   return total
 
 
 async def run(sizes: tuple[int, ...]) -> dict:
-  """Measures every slope; `sizes` are the numbers of routers compared."""
+  """Runs all measurements; `sizes` are the numbers of routers to compare."""
   return {
       "processor_time": await processor_time(),
       "stream_memory": await stream_memory(),
