--- a/mustardfall/bench/demo.py
+++ b/mustardfall/bench/demo.py
@@ -2,10 +2,11 @@
 
 Starts the KV, the host list, three engines (one per Retourhuis data
 centre), a booking service and three routers as processes; applies the
-sample catalogue; drives requests through the routers with the official
-`openai` client (streaming and whole, urgent and deferrable) and
-bookings with retried Idempotency-Keys; stops everything with SIGTERM;
-and reports what the callers saw against what the ledger billed.
+sample catalogue; sends chat requests to the routers with the official
+`openai` client (streamed and not, urgent and deferrable) and bookings that
+are retried with the same Idempotency-Key; stops everything with SIGTERM; and
+compares the usage that the callers counted with the usage that the ledgers
+billed.
 """
 
 import collections
@@ -26,11 +27,11 @@
 from mustardfall.catalogue import store
 from mustardfall.kv import client as kv_client
 
-_CONCURRENCY = 24
+_MAX_CONCURRENT_REQUESTS = 24
 
 
-class Tally:
-  """What the callers saw, per budget and overall."""
+class CallerStats:
+  """Results as counted by the callers, overall and per budget."""
 
   def __init__(self) -> None:
     self.counts: collections.Counter[str] = collections.Counter()
@@ -39,7 +40,7 @@
 
 
 async def _chat(
-    client: openai.AsyncOpenAI, entry, tally: Tally, rng: random.Random
+    client: openai.AsyncOpenAI, entry, stats: CallerStats, rng: random.Random
 ) -> None:
   nonce = f"n{uuid.uuid4().hex[:10]}"
   words = rng.randint(4, 60)
@@ -65,7 +66,7 @@
           first = first or time.monotonic()
           parts.append(chunk.choices[0].delta.content)
       text = "".join(parts)
-      tally.ttft_s.append((first or time.monotonic()) - started)
+      stats.ttft_s.append((first or time.monotonic()) - started)
     else:
       response = await client.chat.completions.create(
           model=entry.model,
@@ -77,29 +78,29 @@
     verdict = (
         (exc.body or {}).get("verdict") if isinstance(exc.body, dict) else None
     )
-    tally.counts["refused" if exc.status_code in (429, 503) else "failed"] += 1
-    tally.counts[f"verdict:{verdict}"] += 1
+    stats.counts["refused" if exc.status_code in (429, 503) else "failed"] += 1
+    stats.counts[f"verdict:{verdict}"] += 1
     return
   except openai.APIError:
-    tally.counts["may_have_run"] += 1
+    stats.counts["may_have_run"] += 1
     return
-  got = text.split()
+  words_received = text.split()
   if (
-      not got
-      or got[0] != nonce
+      not words_received
+      or words_received[0] != nonce
       or usage is None
-      or len(got) != usage.completion_tokens
+      or len(words_received) != usage.completion_tokens
   ):
-    tally.counts["crossed"] += 1
-  tally.counts["completed"] += 1
-  tally.used[entry.name] += usage.total_tokens if usage else 0
+    stats.counts["crossed"] += 1
+  stats.counts["completed"] += 1
+  stats.used[entry.name] += usage.total_tokens if usage else 0
 
 
 async def _book(
-    http: httpx.AsyncClient, router: str, entry, tally: Tally
+    http: httpx.AsyncClient, router: str, entry, stats: CallerStats
 ) -> None:
   key = uuid.uuid4().hex
-  for attempt in range(2):  # the second is a caller's retry of the same call
+  for attempt in range(2):  # The second call is a retry of the first.
     reply = await http.post(
         router + "/v1/bookings",
         json={"item": "pallet"},
@@ -111,23 +112,23 @@
     if reply.status_code == 200 and not reply.headers.get(
         "x-mustardfall-replayed"
     ):
-      tally.used[entry.name] += 1
-      tally.counts["completed"] += 1
-      tally.counts["booked"] += 1
+      stats.used[entry.name] += 1
+      stats.counts["completed"] += 1
+      stats.counts["booked"] += 1
     elif reply.status_code == 200:
-      tally.counts["replayed"] += 1
+      stats.counts["replayed"] += 1
     else:
-      tally.counts["refused"] += 1
+      stats.counts["refused"] += 1
     if attempt == 0:
-      tally.counts["requests"] += 1
+      stats.counts["requests"] += 1
 
 
-async def drive(routers: list[str], count: int, seed: int) -> Tally:
-  """Sends `count` requests round-robin over `routers`; returns the tally."""
+async def drive(routers: list[str], count: int, seed: int) -> CallerStats:
+  """Sends `count` requests to `routers` in turn; returns the callers' counts."""
   rng = random.Random(seed)
   entries = sample.catalogue().entries
-  tally = Tally()
-  limiter = anyio.Semaphore(_CONCURRENCY)
+  stats = CallerStats()
+  limiter = anyio.Semaphore(_MAX_CONCURRENT_REQUESTS)
   clients = {
       (r, e.api_key): openai.AsyncOpenAI(
           base_url=r + "/v1", api_key=e.api_key, max_retries=0, timeout=30
@@ -137,25 +138,26 @@
   }
   async with httpx.AsyncClient(timeout=30) as http:
 
-    async def _one(i: int) -> None:
+    async def _send_request(i: int) -> None:
       async with limiter:
         router = routers[i % len(routers)]
-        # The small budgets get a share of the load, to meet refusals.
+        # Small budgets get a larger share of the load, so that some requests
+        # are refused.
         entry = (
             entries[rng.choice([9, 19])]
             if rng.random() < 0.15
             else rng.choice(entries)
         )
         if rng.random() < 0.1:
-          await _book(http, router, entry, tally)
+          await _book(http, router, entry, stats)
         else:
-          tally.counts["requests"] += 1
-          await _chat(clients[(router, entry.api_key)], entry, tally, rng)
+          stats.counts["requests"] += 1
+          await _chat(clients[(router, entry.api_key)], entry, stats, rng)
 
     async with anyio.create_task_group() as tg:
       for i in range(count):
-        tg.start_soon(_one, i)
-  return tally
+        tg.start_soon(_send_request, i)
+  return stats
 
 
 async def _ledgers(kv_url: str) -> dict[str, ledger.Ledger]:
@@ -178,27 +180,30 @@
 
 
 def summarise(
-    tally: Tally, ledgers: dict[str, ledger.Ledger], kv_stats: dict, stops: dict
+    stats: CallerStats,
+    ledgers: dict[str, ledger.Ledger],
+    kv_stats: dict,
+    stops: dict,
 ) -> dict:
-  """Returns the demo's summary from callers' view and the ledger's."""
+  """Returns the summary, which compares the callers' counts and the ledgers."""
   overspend = sum(
-      max(0, tally.used[name] - ld["limit"]) for name, ld in ledgers.items()
+      max(0, stats.used[name] - ld["limit"]) for name, ld in ledgers.items()
   )
-  double = sum(
-      max(0, ld["spent"] - tally.used[name]) for name, ld in ledgers.items()
+  overbilled = sum(
+      max(0, ld["spent"] - stats.used[name]) for name, ld in ledgers.items()
   )
-  ttft = sorted(tally.ttft_s)
+  ttft = sorted(stats.ttft_s)
   p95 = ttft[int(0.95 * (len(ttft) - 1))] * 1000 if ttft else None
-  requests = tally.counts["requests"]
+  requests = stats.counts["requests"]
   return {
       "requests": requests,
-      "completed": tally.counts["completed"],
-      "refused": tally.counts["refused"],
-      "may_have_run": tally.counts["may_have_run"],
-      "replayed_bookings": tally.counts["replayed"],
+      "completed": stats.counts["completed"],
+      "refused": stats.counts["refused"],
+      "may_have_run": stats.counts["may_have_run"],
+      "replayed_bookings": stats.counts["replayed"],
       "overspend_tokens": overspend,
-      "double_billed": double,
-      "crossed_answers": tally.counts["crossed"],
+      "double_billed": overbilled,
+      "crossed_answers": stats.counts["crossed"],
       "stranded_grants": sum(len(ld["grants"]) for ld in ledgers.values()),
       "p95_ttft_ms": round(p95, 1) if p95 is not None else None,
       "median_ttft_ms": round(statistics.median(ttft) * 1000, 1)
@@ -213,8 +218,8 @@
   }
 
 
-def describe(routers: list[str]) -> str:
-  """Returns what a newcomer needs to try a request."""
+def format_usage(routers: list[str]) -> str:
+  """Returns instructions for sending a request to the running fleet."""
   key = sample.catalogue().entries[0].api_key
   body = '{"messages": [{"role": "user", "content": "hi"}], "max_tokens": 5}'
   lines = [f"router: {url}" for url in routers]
@@ -231,25 +236,25 @@
     seed: int = 7,
     keep: Callable[[str], None] | None = None,
 ) -> dict:
-  """Runs the whole demo; returns the summary.
+  """Runs the demo; returns the summary.
 
   Args:
-    count: requests.
-    seed: of the load.
-    keep: when given, it is told how to try a request once the load is
-      done, and the fleet stays up until the process is interrupted.
+    count: number of requests.
+    seed: of the load's random choices.
+    keep: if given, it is called with instructions for sending a request once
+      the load has ended, and the fleet runs until SIGINT or SIGTERM.
   """
   with fleet_lib.Fleet() as fleet:
     urls = await anyio.to_thread.run_sync(fleet_lib.start_platform, fleet)
     await _apply(urls["kv"])
     routers = fleet_lib.start_routers(fleet, urls, fleet_lib.RETOURHUIS_DCS)
     await anyio.to_thread.run_sync(fleet.wait_ready)
-    await anyio.sleep(0.6)  # routers see the host list's first answer
-    tally = await drive(routers, count, seed)
+    await anyio.sleep(0.6)  # until the routers have read the host list
+    stats = await drive(routers, count, seed)
     if keep is not None:
-      keep(describe(routers))
-      with anyio.open_signal_receiver(signal.SIGINT, signal.SIGTERM) as got:
-        async for _ in got:
+      keep(format_usage(routers))
+      with anyio.open_signal_receiver(signal.SIGINT, signal.SIGTERM) as signals:
+        async for _ in signals:
           break
     for name in [n for n in fleet.procs if n.startswith("router")]:
       fleet.signal(name, 15)
@@ -259,4 +264,4 @@
       kv_stats = (await http.get(urls["kv"] + "/standin/stats")).json()
     ledgers = await _ledgers(urls["kv"])
     stops = await anyio.to_thread.run_sync(fleet.stop)
-  return summarise(tally, ledgers, kv_stats, stops)
+  return summarise(stats, ledgers, kv_stats, stops)
--- a/mustardfall/bench/virtual/simulation.py
+++ b/mustardfall/bench/virtual/simulation.py
@@ -355,7 +355,7 @@
 
 
 def simulate(day: days.Day, config: settings.Router, seed: int) -> Result:
-  """Simulates a day; the same seed gives the same result."""
+  """Simulates a day; within a process, a seed always gives the same result."""
   logging.getLogger("mustardfall").setLevel(logging.CRITICAL)
   random.seed(seed)
   return loop.run(_Simulation(day, config, seed).run)
