--- a/mustardfall/accounts.py
+++ b/mustardfall/accounts.py
@@ -39,7 +39,7 @@
     post: makes calls to other routers.
     policy_of: returns a customer's policy.
     limit_of: see `pool.Pool`.
-    lease_of: returns the lease to attach to a key (0: none).
+    get_lease: returns the lease to attach to a key (0: none).
     epoch: distinguishes this life from others; random if empty.
     budgets: returns the budgets that the configuration sets.
   """
@@ -53,7 +53,7 @@
       post: peers_lib.Post,
       policy_of: Callable[[str], policy.Policy],
       limit_of: Callable[[str], ledger.Limit | None] = lambda budget: None,
-      lease_of: Callable[[str], int] = lambda key: 0,
+      get_lease: Callable[[str], int] = lambda key: 0,
       epoch: str = "",
       budgets: Callable[[], Iterable[str]] = tuple,
   ) -> None:
@@ -63,7 +63,7 @@
     self._kv = kv
     self._balances: dict[str, ledger.Balance] = {}
     self.writer = writer_lib.Writer(
-        kv, config.writer, clock, self._on_value, lease_of
+        kv, config.writer, clock, self._on_value, get_lease
     )
     peer = config.peer_listen
     me = members_lib.Member(
--- a/mustardfall/api/calls.py
+++ b/mustardfall/api/calls.py
@@ -32,13 +32,13 @@
   REPLAYED = "replayed"
 
 
-def metric_attributes(entry: table.Found) -> dict[str, str]:
+def metric_attributes(entry: table.CallerEntry) -> dict[str, str]:
   """Returns the metric attributes of an entry: customer and class."""
   return {"customer": entry.customer, "class": entry.klass.value}
 
 
 def count_result(
-    router: router_lib.Router, entry: table.Found, result: CallResult
+    router: router_lib.Router, entry: table.CallerEntry, result: CallResult
 ) -> None:
   """Counts one finished request by its result."""
   router.instruments.outcomes.add(
@@ -48,7 +48,7 @@
 
 
 async def admit(
-    router: router_lib.Router, entry: table.Found, tokens: int
+    router: router_lib.Router, entry: table.CallerEntry, tokens: int
 ) -> "Call | verdict.Verdict":
   """Reserves `tokens` for a request, or rejects it without waiting."""
   router.retries.deposit()
@@ -58,7 +58,7 @@
     # A router that gets its tokens from the budget's owner may not have read
     # the ledger yet. The limit is looked up so that a request larger than the
     # whole budget gets a final 402 instead of being retried for ever.
-    known = await router.accounts.look_up(entry.name)
+    known = await router.accounts.fetch_balance(entry.name)
     if known is not None and tokens > known.limit:
       return verdict.not_run(
           f"needs {tokens} tokens, the whole budget has {known.limit}",
@@ -83,7 +83,7 @@
   def __init__(
       self,
       router: router_lib.Router,
-      entry: table.Found,
+      entry: table.CallerEntry,
       reservation: allotment.Reservation,
   ) -> None:
     self.router = router
@@ -94,7 +94,7 @@
     self._first_token_recorded = False
     self._settled = False
     self._transferred = False
-    self._slot_request: scheduler.Want | None = None
+    self._slot_request: scheduler.SlotRequest | None = None
     self.endpoint: endpoints.Row | None = None
     self._idem_key = ""
     self._claim = ""
@@ -131,7 +131,7 @@
       self, kind: str, model_name: str, excluded: frozenset[str]
   ) -> scheduler.Shed | None:
     """Acquires a slot at an endpoint; returns the rejection, or None."""
-    slot_request = scheduler.Want(kind, model_name, self.entry.klass)
+    slot_request = scheduler.SlotRequest(kind, model_name, self.entry.klass)
     acquired = await self.router.scheduler.acquire(slot_request, excluded)
     if isinstance(acquired, scheduler.Shed):
       return acquired
@@ -141,13 +141,13 @@
 
   def expect_first_token(self) -> None:
     """Registers a pending first token, for the concurrency limits."""
-    self.endpoint.awaiting[id(self)] = self._sent
+    self.endpoint.awaiting_first_token[id(self)] = self._sent
 
   def release(self) -> None:
     """Releases the slot, if one is held."""
     if self.endpoint is not None:
       endpoint, self.endpoint = self.endpoint, None
-      endpoint.awaiting.pop(id(self), None)
+      endpoint.awaiting_first_token.pop(id(self), None)
       self.router.scheduler.release(endpoint, self._slot_request)
 
   def record_first_token(self, update_limit: bool = True) -> None:
@@ -166,8 +166,8 @@
         now - self._started, metric_attributes(self.entry)
     )
     if update_limit and self.endpoint is not None:
-      self.endpoint.awaiting.pop(id(self), None)
-      self.router.endpoints.steer(self.endpoint, now - self._sent, now)
+      self.endpoint.awaiting_first_token.pop(id(self), None)
+      self.router.endpoints.adapt_limit(self.endpoint, now - self._sent, now)
 
   def settle(self, used: int | None, result: CallResult) -> int:
     """Bills `used` tokens (None: the whole reservation), only once.
--- a/mustardfall/api/chat.py
+++ b/mustardfall/api/chat.py
@@ -73,7 +73,7 @@
 
 def _parse(
     router: router_lib.Router,
-    entry: table.Found,
+    entry: table.CallerEntry,
     request: requests.Request,
     body: dict[str, Any] | None,
 ) -> _ChatRequest | verdict.Verdict:
--- a/mustardfall/api/peer.py
+++ b/mustardfall/api/peer.py
@@ -16,13 +16,15 @@
   """Returns the ASGI application for other routers and operators."""
 
   async def _reserve(request: requests.Request) -> responses.Response:
-    ask = peers.Ask(**await request.json())
-    handed = await router.pool.owner.serve_ask(ask)
+    ask = peers.ReserveRequest(**await request.json())
+    handed = await router.pool.owner.serve_part_request(ask)
     return responses.JSONResponse(handed._asdict())
 
   async def _settle(request: requests.Request) -> responses.Response:
     body = await request.json()
-    router.pool.owner.serve_settle([peers.Ended(**e) for e in body["ended"]])
+    router.pool.owner.serve_settle(
+        [peers.EndedPart(**e) for e in body["ended"]]
+    )
     return responses.JSONResponse({})
 
   async def _recall(request: requests.Request) -> responses.Response:
--- a/mustardfall/api/replies.py
+++ b/mustardfall/api/replies.py
@@ -30,7 +30,7 @@
 
 def find_entry(
     router: router_lib.Router, request: requests.Request
-) -> table.Found | None:
+) -> table.CallerEntry | None:
   """Returns the catalogue entry of the caller's API key; None if unknown."""
   auth = request.headers.get("authorization", "")
   return router.catalogue.current.find(auth.removeprefix("Bearer ").strip())
--- a/mustardfall/bench/load.py
+++ b/mustardfall/bench/load.py
@@ -136,7 +136,7 @@
         "stream": True,
         "stream_options": {"include_usage": True},
     }
-    max_total_tokens = chat.prompt_bound(body) + words
+    max_total_tokens = chat.max_prompt_tokens(body) + words
     account = self.accounts[entry.name]
     covered = account.covers(max_total_tokens)
     account.in_flight += max_total_tokens
--- a/mustardfall/bench/memory.py
+++ b/mustardfall/bench/memory.py
@@ -40,7 +40,7 @@
   table = allotment.Table("router-1", settings.Allotment())
   base = tracemalloc.get_traced_memory()[0]
   for i in range(n):
-    table.add(f"budget-{i}", table.new_gid(), 5_000, 0.0)
+    table.add(f"budget-{i}", table.new_id(), 5_000, 0.0)
     table.reserve(f"budget-{i}", 100)
   per_row = (tracemalloc.get_traced_memory()[0] - base) / n
   tracemalloc.stop()
--- a/mustardfall/bench/sample.py
+++ b/mustardfall/bench/sample.py
@@ -9,8 +9,8 @@
     "mahakama": ("assistant", ("urgent", "deferrable")),
 }
 _WEIGHS_BY_CUSTOMER = {
-    "retourhuis": policy.Weighs.FALSE_REFUSALS,
-    "mahakama": policy.Weighs.OVERSPEND,
+    "retourhuis": policy.Preference.FALSE_REFUSALS,
+    "mahakama": policy.Preference.OVERSPEND,
 }
 TEAMS = 10
 
--- a/mustardfall/bench/scenarios.py
+++ b/mustardfall/bench/scenarios.py
@@ -184,7 +184,7 @@
         revision = await environment.operate(
             functools.partial(_set_team, tag=tag)
         )
-      except errors.CatalogueRaceLostError:
+      except errors.CatalogueConflictError:
         lost += 1
         continue
       accepted.append(revision)
--- a/mustardfall/bench/virtual/engines.py
+++ b/mustardfall/bench/virtual/engines.py
@@ -144,7 +144,7 @@
   kind: Kind
   tokens: int
   prompt: placement.Prompt
-  place: placement.Place
+  place: placement.Placement
   name: str
   sent_at: float
 
@@ -229,7 +229,7 @@
         kind, sum(prompt[1:]), prompt, place, name, sent_at=now
     )
     place.row.in_flight += 1
-    place.row.reading_s += place.reading_s
+    place.row.prefill_s += place.prefill_s
     first_at, shared = self.engines[place.row.name].prefill(prompt, now)
     self._shared_tokens += prompt.shared_tokens
     if prompt.prefix in self._read_prefixes:
@@ -243,10 +243,10 @@
   def _receive_first_token(
       self, router: _Router, sent: _PlacedRequest, now: float
   ) -> None:
-    sent.place.row.reading_s -= sent.place.reading_s
+    sent.place.row.prefill_s -= sent.place.prefill_s
     took_s = now - sent.sent_at
     self._times.setdefault(sent.kind.name, []).append((sent.tokens, took_s))
-    router.table.learn(sent.place.row, sent.place.answer_s, took_s)
+    router.table.update_slowness(sent.place.row, sent.place.answer_s, took_s)
     self._report(self, router, "first", sent, now)
     self.schedule(now + _DECODE_S, lambda at: self._finish(router, sent, at))
 
@@ -298,7 +298,7 @@
     router: _Router,
     prompt: placement.Prompt,
     now: float,
-) -> placement.Place:
+) -> placement.Placement:
   """Places the request by the load that the router knows itself."""
   del simulation, now
   return placement.choose(router.rows, prompt, router.datacentre)
@@ -309,14 +309,14 @@
     router: _Router,
     prompt: placement.Prompt,
     now: float,
-) -> placement.Place:
+) -> placement.Placement:
   """Takes the first endpoint in the hash order of the prefix."""
   del now
   first, _ = placement.candidates(
       router.rows, prompt, router.datacentre, simulation.rng()
   )
-  held_s = placement.reading_s(True, prompt)
-  return placement.Place(first[0].row, held_s, held_s)
+  held_s = placement.prefill_s(True, prompt)
+  return placement.Placement(first[0].row, held_s, held_s)
 
 
 def _choose_of_two(
@@ -324,13 +324,13 @@
     router: _Router,
     prompt: placement.Prompt,
     now: float,
-) -> placement.Place:
+) -> placement.Placement:
   """Takes the less busy of two random endpoints, as far as the router knows."""
   del now
   rows = simulation.rng().sample(router.rows, 2)
   row = min(rows, key=lambda r: placement.wait_s(r, prompt))
-  own_s = placement.reading_s(False, prompt)
-  return placement.Place(row, own_s, placement.wait_s(row, prompt) + own_s)
+  own_s = placement.prefill_s(False, prompt)
+  return placement.Placement(row, own_s, placement.wait_s(row, prompt) + own_s)
 
 
 def _choose_tracked(
@@ -338,7 +338,7 @@
     router: _Router,
     prompt: placement.Prompt,
     now: float,
-) -> placement.Place:
+) -> placement.Placement:
   """Places the request by the load that the candidates' trackers report."""
   rounds = placement.candidates(
       router.rows, prompt, router.datacentre, simulation.rng()
@@ -347,13 +347,13 @@
   for found in rounds:
     asked += found
     simulation.messages += len(found)
-    standings = {
-        one.row.life: simulation.tracker.stand(one.row.life, prompt.prefix, now)
+    statuses = {
+        one.row.life: simulation.tracker.status_of(
+            one.row.life, prompt.prefix, now
+        )
         for one in asked
     }
-    place = placement.choose_tracked(
-        asked, standings, prompt, router.datacentre
-    )
+    place = placement.choose_tracked(asked, statuses, prompt, router.datacentre)
     if not placement.is_busy(place, prompt):
       break
   return place
@@ -392,8 +392,8 @@
     simulation.messages += 1
     other = simulation.routers[router.next_peer]
     if other is not router:
-      other.loads.take(report, now)
-      other.loads.add_up(now)
+      other.loads.apply_report(report, now)
+      other.loads.recompute_totals(now)
 
 
 def _report_to_tracker(
@@ -409,11 +409,11 @@
   life = sent.place.row.life
   if step == "sent":
     simulation.tracker.note_sent(
-        life, sent.name, sent.prompt.prefix, sent.place.reading_s, now
+        life, sent.name, sent.prompt.prefix, sent.place.prefill_s, now
     )
   elif step == "first":
     took_s = now - sent.sent_at
-    simulation.tracker.note_first(life, sent.place.answer_s, took_s, now)
+    simulation.tracker.note_first_token(life, sent.place.answer_s, took_s, now)
   else:
     simulation.tracker.note_end(life, sent.name, False, now)
 
--- a/mustardfall/bench/virtual/hosts.py
+++ b/mustardfall/bench/virtual/hosts.py
@@ -85,9 +85,11 @@
 async def _serve(accounts: accounts_lib.Accounts, path: str, body: dict):
   pool = accounts.pool
   if path == peers.RESERVE_PATH:
-    return (await pool.owner.serve_ask(peers.Ask(**body)))._asdict()
+    return (
+        await pool.owner.serve_part_request(peers.ReserveRequest(**body))
+    )._asdict()
   if path == peers.SETTLE_PATH:
-    pool.owner.serve_settle([peers.Ended(**row) for row in body["ended"]])
+    pool.owner.serve_settle([peers.EndedPart(**row) for row in body["ended"]])
   elif path == peers.RECALL_PATH:
     await pool.recaller.serve(body["budget"])
   elif path == peers.REVIEW_PATH:
@@ -143,7 +145,7 @@
         client,
         events.Bus(),
         _post,
-        lambda customer: policy.CONFIGURED,
+        lambda customer: policy.CONFIGURED_BUDGETS,
         self._limits.get,
         epoch=f"{fleet.rng.getrandbits(32):08x}",
         budgets=self._limits.keys,
@@ -228,7 +230,7 @@
     if self.accounts is not accounts:
       return  # The router was killed while it drained.
     with anyio.move_on_after(_HAND_BACK_TIMEOUT_S):
-      await accounts.hand_back()
+      await accounts.return_allotments()
       await accounts.writer.flush(_HAND_BACK_TIMEOUT_S)
     self.kill(power_loss=False)
 
--- a/mustardfall/bench/virtual/loop.py
+++ b/mustardfall/bench/virtual/loop.py
@@ -76,7 +76,7 @@
     boot_s = self.monotonic() - self._booted_s
     return clock_lib.Moment(boot_s, self.wall().timestamp())
 
-  def started(self) -> clock_lib.Moment:
+  def process_start(self) -> clock_lib.Moment:
     """Returns the current readings; a process's start is not recorded here."""
     return self.moment()
 
--- a/mustardfall/bench/virtual/simulation.py
+++ b/mustardfall/bench/virtual/simulation.py
@@ -13,8 +13,8 @@
 from mustardfall.bench.virtual import hosts as hosts_lib
 from mustardfall.bench.virtual import loop
 from mustardfall.bench.virtual import traffic
-from mustardfall.budget import comeback
 from mustardfall.budget import ledger
+from mustardfall.budget import retry_hint
 from mustardfall.kv import change
 
 _WARM_UP_S = 3.0
@@ -192,7 +192,7 @@
     network = self._fleet.network
     cut_off = not network.reaches_store(host.name)
     cut_off = cut_off or network.is_refused(host.name)
-    where = host.accounts.pool.known.whereabouts(team)
+    where = host.accounts.pool.budget_view.snapshot(team)
     if cut_off and where is not None and where.idle >= tokens:
       return "cut off: promise too low"
     if cut_off:
@@ -228,9 +228,9 @@
     if host is None or host.accounts is None:
       return _FAILOVER_S
     accounts = host.accounts
-    if accounts.pool.known.is_exhausted(request.team, request.max_tokens):
+    if accounts.pool.budget_view.is_exhausted(request.team, request.max_tokens):
       return None
-    wait_s = comeback.most_s(accounts.store_away, timeout_s)
+    wait_s = retry_hint.max_retry_s(accounts.store_unreachable, timeout_s)
     wait_s *= self._rng.uniform(0.5, 1.0)
     return wait_s if wait_s < timeout_s / 3 else None
 
@@ -343,7 +343,7 @@
       return 0
     found = change.decode(record.value)
     held = sum(
-        max(0, row.may_return)
+        max(0, row.unconsumed)
         for host in self._fleet.hosts.values()
         if host.accounts is not None
         for row in host.accounts.pool.table.rows.values()
--- a/mustardfall/bench/virtual/store.py
+++ b/mustardfall/bench/virtual/store.py
@@ -11,7 +11,7 @@
 
 from mustardfall import errors
 from mustardfall.bench.virtual import network as network_lib
-from mustardfall.kv import contact
+from mustardfall.kv import circuit_breaker
 from mustardfall.kv import protocol
 
 _LATENCY_S = 0.004
@@ -145,14 +145,14 @@
     self._network = network
     self._host = host
     self._rng = rng
-    self._contact = contact.Contact(clock)
+    self._breaker = circuit_breaker.CircuitBreaker(clock)
     self._ttls: dict[int, float] = {}
     self.calls = 0
 
   @property
   def reachable(self) -> bool:
     """Whether the last call was answered."""
-    return not self._contact.lost
+    return not self._breaker.is_open
 
   async def close(self) -> None:
     """Does nothing: there is no connection to close."""
@@ -169,19 +169,19 @@
       errors.KvUnavailableError: the call was not made or was refused.
       errors.KvUnknownError: the store did not answer.
     """
-    if not ignore_backoff and not self._contact.may_try():
+    if not ignore_backoff and not self._breaker.allows_call():
       raise errors.KvUnavailableError("call not made: the store is unreachable")
     self.calls += 1
     self._store.calls[kind] += 1
     if not self._network.reaches_store(self._host):
       await anyio.sleep(_CALL_TIMEOUT_S)
-      self._contact.note("no answer")
+      self._breaker.record("no answer")
       raise errors.KvUnknownError("no answer from the store")
     await anyio.sleep(_LATENCY_S * self._network.latency_factor)
     if self._network.is_refused(self._host):
-      self._contact.note("refused")
+      self._breaker.record("refused")
       raise errors.KvUnavailableError("the store refused the call")
-    self._contact.note(None)
+    self._breaker.record(None)
 
   async def get(self, key: str) -> protocol.Record | None:
     """Returns the record at `key`, or None."""
@@ -227,7 +227,7 @@
     loop = asyncio.get_running_loop()
     loop.call_later(late_s, self._store.commit, compares, success)
     await anyio.sleep(_CALL_TIMEOUT_S)
-    self._contact.note("answer lost")
+    self._breaker.record("answer lost")
     raise errors.KvUnknownError("the store's reply was lost")
 
   async def grant_lease(self, ttl_s: int) -> int:
@@ -260,7 +260,7 @@
           await self._store.wait_for_change()
       if not self._network.reaches_store(self._host):
         await anyio.sleep(_WATCH_TIMEOUT_S)
-        self._contact.note("watch silent")
+        self._breaker.record("watch silent")
         raise errors.KvUnknownError(f"no answer to the watch on {prefix!r}")
       for change in self._store.changes_since(prefix, since):
         yield protocol.Event(change.deleted, change.record)
--- a/mustardfall/emulator/store.py
+++ b/mustardfall/emulator/store.py
@@ -10,7 +10,7 @@
 
 import anyio
 
-from mustardfall.proxy import front
+from mustardfall.proxy import http_server
 from mustardfall.proxy import internal
 from mustardfall.proxy import messages
 from mustardfall.routing import configuration
@@ -134,7 +134,7 @@
       self,
       request: messages.Request,
       body: bytes,
-      responder: front.Responder,
+      responder: http_server.Responder,
   ) -> None:
     """Handles one call, with the faults that `faults` injects."""
     if self.faults.down == "silent":
@@ -142,11 +142,11 @@
     if self.faults.down == "reset":
       raise anyio.BrokenResourceError
     if self.faults.down == "nonsense":
-      await responder.answer(200, [], next(self._invalid_responses))
+      await responder.respond(200, [], next(self._invalid_responses))
       return
     host = dict(request.headers).get(HOST_HEADER, b"").decode()
     if self.faults.down == "busy" or host in self.faults.rejected_hosts:
-      await responder.answer(503, [])
+      await responder.respond(503, [])
       return
     self._expire()
     query = request.target.decode().partition("?")[2]
@@ -159,7 +159,7 @@
     status, answer = await self._answer(
         path if lease else request.path, fields, data, lease
     )
-    await responder.answer(status, [], json.dumps(answer).encode())
+    await responder.respond(status, [], json.dumps(answer).encode())
 
   async def _lose_response(self, data: dict[str, Any]) -> None:
     self.faults.lose_responses -= 1
@@ -253,7 +253,7 @@
 
   async def serve(self, port: int) -> None:
     """Serves on the loopback interface until cancelled."""
-    served = front.Front(
+    served = http_server.HttpServer(
         internal.Dialect(),
         self.handle,
         lambda: configuration.DEFAULT_LIMITS,
--- a/mustardfall/errors.py
+++ b/mustardfall/errors.py
@@ -58,9 +58,9 @@
   """Connecting to an endpoint failed: the request was not sent."""
 
 
-class BadResponseError(Error):
+class InvalidResponseError(Error):
   """An endpoint's response is incomplete or invalid; it may have run."""
 
 
-class ResponseTimeoutError(BadResponseError):
+class ResponseTimeoutError(InvalidResponseError):
   """An endpoint sent nothing within the timeout; it may still be running."""
--- a/mustardfall/proxy/http_server.py
+++ b/mustardfall/proxy/http_server.py
@@ -418,7 +418,7 @@
       errors.BusyError: they do not fit.
     """
     if not self._server.allocate(self._request_allocation, size):
-      raise errors.BusyError("no room", _RETRY_AFTER_S)
+      raise errors.OverloadedError("no room", _RETRY_AFTER_S)
 
   def _allocate_body(self, size: int) -> None:
     """Allocates the copies of `size` bytes of the request's body.
@@ -433,7 +433,7 @@
     if size and not self._server.allocate(
         self._request_allocation, copies, share
     ):
-      raise errors.BusyError("no room for a body", _RETRY_AFTER_S)
+      raise errors.OverloadedError("no room for a body", _RETRY_AFTER_S)
 
   def allocate_response(self, size: int) -> bool:
     """Allocates `size` bytes for a response; returns whether they fit."""
@@ -459,7 +459,7 @@
   async def refuse_connection(self) -> None:
     """Refuses the caller with 503 without reading its request."""
     await self._refuse(
-        Responder(self), errors.BusyError("full", _RETRY_AFTER_S)
+        Responder(self), errors.OverloadedError("full", _RETRY_AFTER_S)
     )
     await self._close_lingering()
 
--- a/mustardfall/router.py
+++ b/mustardfall/router.py
@@ -204,9 +204,9 @@
     """Makes the router report not ready; it still serves requests."""
     self.stopping = True
 
-  async def hand_back(self) -> None:
+  async def return_allotments(self) -> None:
     """Returns all allotments; called after open requests have drained."""
-    await self.accounts.hand_back()
+    await self.accounts.return_allotments()
 
   async def finish(self) -> None:
     """Flushes pending writes, once other routers can no longer call."""
--- a/tests/platformcase.py
+++ b/tests/platformcase.py
@@ -147,7 +147,7 @@
 
   def list_server(self, id_: str, port: int, state: str = "ready") -> None:
     """Writes a server's entry."""
-    entry = server_lib.list_entry(f"127.0.0.1:{port}", state=state)
+    entry = server_lib.make_registration(f"127.0.0.1:{port}", state=state)
     self.store.put(f"servers/{id_}", entry)
 
   def add_server(self, id_: str) -> server_lib.Server:
--- a/tests/processcase.py
+++ b/tests/processcase.py
@@ -208,7 +208,9 @@
   store.put("op/config", document)
   server = server_lib.Server("i-1")
   server_port = fleet.free_port()
-  store.put("servers/i-1", server_lib.list_entry(f"127.0.0.1:{server_port}"))
+  store.put(
+      "servers/i-1", server_lib.make_registration(f"127.0.0.1:{server_port}")
+  )
   with tempfile.TemporaryDirectory() as folder:
     router = Router(pathlib.Path(folder), store_port)
     async with anyio.create_task_group() as tg:
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -75,10 +75,10 @@
   async def test_lost_responses_of_running_servers_do_not_count(self, env):
     """Guards against a quarantine because of connections that break."""
     for server in env.servers.values():
-      server.behaviour.cut_after = 0
+      server.behaviour.reset_after_events = 0
     for response in await self._send_repeatedly(env, 6):
       self.assertEqual(502, response.status)
     for server in env.servers.values():
-      server.behaviour.cut_after = None
+      server.behaviour.reset_after_events = None
     response = await self._send(env, "after")
     self.assertEqual(200, response.status)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -198,7 +198,7 @@
     # All connections have a request in flight, so none can be closed. Later
     # callers must get a 503 with Retry-After, not a connection that hangs.
     env.router.max_files = 120
-    env.server.behaviour.work_s = 1.5
+    env.server.behaviour.response_delay_s = 1.5
     env.router.start()
     await env.router.wait_until_ready()
     results = []
@@ -218,7 +218,7 @@
     self.assertTrue(statuses[0] <= 15, statuses)
     self.assertEqual(150, statuses[200] + statuses[503] + statuses[0], statuses)
     self.assertEqual([], [s for s in results if s[0] == 503 and not s[1]])
-    env.server.behaviour.work_s = 0.0
+    env.server.behaviour.response_delay_s = 0.0
     self.assertEqual(200, (await env.call("/look/a", "last")).status)
 
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -106,14 +106,14 @@
   async def test_lost_response_of_an_unsafe_request_gets_502(self, env):
     # The server runs a booking and the connection breaks before the response.
     # After a 503 the caller would book again; 502 leaves open whether it ran.
-    env.servers["i-1"].behaviour.cut_after = 0
+    env.servers["i-1"].behaviour.reset_after_events = 0
     response = await env.call("/book/a", "r1")
     self.assertEqual(502, response.status)
     self.assertEqual(1, len(env.servers["i-1"].seen))
 
   @in_environment(servers=("i-1", "i-2"))
   async def test_safe_request_with_a_lost_response_is_retried(self, env):
-    env.servers["i-1"].behaviour.cut_after = 0
+    env.servers["i-1"].behaviour.reset_after_events = 0
     for n in range(4):
       response = await env.call("/look/a", f"r{n}")
       self.assertEqual((200, b"i-2 /look/a"), (response.status, response.body))
@@ -122,7 +122,7 @@
   async def test_response_to_another_request_is_skipped(self, env):
     # A late response to an earlier request arrives first. The caller must get
     # the response to its own request, which follows.
-    env.servers["i-1"].behaviour.stranger_first = True
+    env.servers["i-1"].behaviour.foreign_response_first = True
     response = await env.call("/book/a", "r1")
     self.assertEqual(b"i-1 /book/a", response.body)
 
@@ -130,7 +130,7 @@
   async def test_connection_with_a_second_response_is_not_reused(self, env):
     # The server sends a second response after the first. On a reused connection
     # it would be taken for the response to the next request.
-    env.servers["i-1"].behaviour.extra_after = True
+    env.servers["i-1"].behaviour.extra_response = True
     for n in range(3):
       response = await env.call("/book/a", f"r{n}")
       self.assertEqual(b"i-1 /book/a", response.body)
@@ -148,7 +148,7 @@
 
   @in_environment()
   async def test_response_without_length_is_complete_at_the_close(self, env):
-    env.servers["i-1"].behaviour.unframed = True
+    env.servers["i-1"].behaviour.close_delimited = True
     response = await env.call("/book/a", "r1")
     self.assertEqual((200, b"i-1 /book/a"), (response.status, response.body))
 
@@ -169,7 +169,7 @@
   async def test_request_is_cancelled_when_its_caller_disconnects(self, env):
     # The caller disconnects before the response. The server must soon see its
     # connection closed, so that it can abort the work.
-    env.servers["i-1"].behaviour.work_s = 5.0
+    env.servers["i-1"].behaviour.response_delay_s = 5.0
     async with env.caller() as caller:
       await caller.send("/look/a", "r1")
       await env.wait_until(lambda: env.servers["i-1"].seen)
@@ -177,7 +177,7 @@
 
   @in_environment()
   async def test_silent_server_gets_504_at_the_deadline(self, env):
-    env.servers["i-1"].behaviour.work_s = 5.0
+    env.servers["i-1"].behaviour.response_delay_s = 5.0
     with anyio.fail_after(1.0):
       response = await env.call("/book/a", "r1", deadline_ms="400")
     self.assertEqual(504, response.status)
@@ -203,8 +203,8 @@
     await fill_retry_budget(env)
     for server in env.servers.values():
       server.behaviour.events = 6
-    env.servers["i-1"].behaviour.cut_after = 2
-    env.servers["i-1"].behaviour.half_event = True
+    env.servers["i-1"].behaviour.reset_after_events = 2
+    env.servers["i-1"].behaviour.partial_event = True
     for n in range(4):
       response = await env.call("/text/a", f"r{n}", **self.USAGE)
       ids = [
@@ -219,7 +219,7 @@
       self, env
   ):
     env.servers["i-1"].behaviour.events = 6
-    env.servers["i-1"].behaviour.cut_after = 2
+    env.servers["i-1"].behaviour.reset_after_events = 2
     response = await env.call("/once/a", "r1", **self.USAGE)
     self.assertEqual((200, False), (response.status, response.is_complete))
     self.assertEqual(1, len(env.servers["i-1"].seen))
@@ -295,11 +295,11 @@
     # The store applies the write of a grant and its response is lost, or it
     # applies the write later. The tokens must not be granted twice.
     env.servers["i-1"].behaviour.events = 5
-    for late_s in (0.0, 0.2):
-      env.store.faults.lose_answers = 1
-      env.store.faults.late_s = late_s
+    for apply_delay_s in (0.0, 0.2):
+      env.store.faults.lose_responses = 1
+      env.store.faults.apply_delay_s = apply_delay_s
       for n in range(4):
-        await env.call("/once/a", f"r{late_s}{n}", **StreamTest.USAGE)
+        await env.call("/once/a", f"r{apply_delay_s}{n}", **StreamTest.USAGE)
     await anyio.sleep(0.5)
     found = env.store.read(ledger.key("acme"))
     rows = env.gateway.accounts.pool.table.rows
@@ -314,7 +314,7 @@
     known = env.gateway.directory
     await env.wait_until(lambda: known.configuration.version == 9)
     env.configure(version=4)
-    env.store.forget_history()
+    env.store.compact_history()
     await anyio.sleep(1.0)
     self.assertEqual(9, known.configuration.version)
 
@@ -322,7 +322,7 @@
   async def test_change_takes_effect_after_the_history_was_dropped(self, env):
     # The store drops its history during a watch. The watch fails, and the
     # change must be found by a read.
-    env.store.forget_history()
+    env.store.compact_history()
     env.configure(version=3)
     known = env.gateway.directory
     await env.wait_until(lambda: known.configuration.version == 3, 2.0)
@@ -393,7 +393,7 @@
   async def test_stop_finishes_requests_in_flight(self, env):
     # The platform stops the process while a booking is in flight. Its caller
     # must still get the response.
-    env.servers["i-1"].behaviour.work_s = 0.6
+    env.servers["i-1"].behaviour.response_delay_s = 0.6
     async with env.caller() as caller:
       await caller.send("/book/a", "r1")
       await env.wait_until(lambda: env.servers["i-1"].seen)
@@ -412,7 +412,7 @@
     # complete within the stop timeout. Reserving much of that time for
     # returning budgets cut the stream off.
     behaviour = env.servers["i-1"].behaviour
-    behaviour.events, behaviour.gap_s = 15, 0.1
+    behaviour.events, behaviour.event_interval_s = 15, 0.1
     async with env.caller() as caller:
       await caller.send("/once/a", "r1", **StreamTest.USAGE)
       await env.wait_until(lambda: env.servers["i-1"].seen)
@@ -446,7 +446,7 @@
       async with platformcase.running(servers=("i-1", "i-2")) as env:
         other = await env.add_gateway("front-2")
         await env.wait_until(lambda: len(other.accounts.members.lives) == 2)
-        env.store.faults.refused.add("front-2")
+        env.store.faults.rejected_hosts.add("front-2")
         await anyio.sleep(0.6)
         env.configure(version=7, prepaid=5)
         env.store.remove("servers/i-2")
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -100,7 +100,7 @@
       if len(seen) == 2:
         break
     self.assertEqual(("w/a", True), seen[-1])
-    server.forget_history()
+    server.compact_history()
 
     async def next_event():
       async for _ in client.watch("w/", revision + 1, 0.2):
@@ -114,7 +114,7 @@
   ):
     # The store executes the write, but the response is lost. The caller must
     # not assume that the write had no effect.
-    server.faults.lose_answers = 1
+    server.faults.lose_responses = 1
     put = [protocol.Put("k", b"1")]
     self.assertIs(errors.KvUnknownError, await _error_type(client.txn, [], put))
     self.assertEqual(b"1", (await client.get("k")).value)
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -65,5 +65,5 @@
       return peers_stub.settled
 
     settled = anyio.run(go)
-    expected = [peers.Ended(f"r0:e:{i}", 0) for i in (1, 2)]
+    expected = [peers.EndedPart(f"r0:e:{i}", 0) for i in (1, 2)]
     self.assertEqual(expected, sorted(settled))
