--- a/mustardfall/api/calls.py
+++ b/mustardfall/api/calls.py
@@ -129,11 +129,11 @@
 
   async def take_place(
       self, kind: str, model_name: str, avoid: frozenset[str]
-  ) -> scheduler.Shed | None:
+  ) -> scheduler.NoSlot | None:
     """Takes a place at an endpoint; returns the refusal, or None."""
     want = scheduler.SlotRequest(kind, model_name, self.entry.klass)
     got = await self.router.scheduler.acquire(want, avoid)
-    if isinstance(got, scheduler.Shed):
+    if isinstance(got, scheduler.NoSlot):
       return got
     self._want, self.row = want, got
     self._sent = self.router.clock.monotonic()
--- a/mustardfall/routing/scheduler.py
+++ b/mustardfall/routing/scheduler.py
@@ -30,7 +30,7 @@
 _MIN_RETRY_AFTER_S = 0.5
 
 
-class Shed(NamedTuple):
+class NoSlot(NamedTuple):
   """A refusal due to overload, and the seconds to retry after."""
 
   reason: str
@@ -104,7 +104,7 @@
 
   async def acquire(
       self, slot_request: SlotRequest, avoid: frozenset[str] = frozenset()
-  ) -> endpoints.Row | Shed:
+  ) -> endpoints.Row | NoSlot:
     """Waits for a slot; returns its endpoint, or a refusal.
 
     The caller must `release` the slot.
@@ -114,7 +114,7 @@
       avoid: names of endpoints that the request was already sent to.
     """
     if not self._table.eligible(slot_request.kind, slot_request.model, avoid):
-      return Shed("no endpoint can take this request now", 1.0)
+      return NoSlot("no endpoint can take this request now", 1.0)
     queues = self._queues.setdefault(
         (slot_request.kind, slot_request.model), _Queues()
     )
@@ -125,7 +125,7 @@
     expected = self._expected_wait(queues, slot_request.klass)
     if expected > bound:
       self.counts[f"shed_{slot_request.klass.value}"] += 1
-      return Shed("all endpoints are busy", self._retry_after(expected))
+      return NoSlot("all endpoints are busy", self._retry_after(expected))
     queue = queues.waiting[self._queue_class(slot_request.klass)]
     queue.append(waiter)
     self._dispatch(queues)
@@ -142,7 +142,7 @@
     self._withdraw(queue, waiter)
     self.counts[f"shed_{slot_request.klass.value}"] += 1
     expected = self._expected_wait(queues, slot_request.klass)
-    return Shed("all endpoints stayed busy", self._retry_after(expected))
+    return NoSlot("all endpoints stayed busy", self._retry_after(expected))
 
   def _withdraw(
       self, queue: collections.deque[_Waiter], waiter: _Waiter
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -38,7 +38,7 @@
 
     async def _acquire(slot_request):
       row = await sched.acquire(slot_request)
-      if isinstance(row, scheduler.Shed):
+      if isinstance(row, scheduler.NoSlot):
         return
       order.append(slot_request.klass)
       sched.release(row, slot_request)
@@ -95,14 +95,14 @@
       return got, took
 
     got, took = anyio.run(go)
-    self.assertIsInstance(got, scheduler.Shed)
+    self.assertIsInstance(got, scheduler.NoSlot)
     self.assertLess(took, 0.5)
     self.assertGreater(got.retry_after_s, 5.0)
 
   def test_leaving_endpoint_gets_no_requests(self):
     sched, _ = _make(state="leaving")
     got = anyio.run(sched.acquire, _URGENT)
-    self.assertIsInstance(got, scheduler.Shed)
+    self.assertIsInstance(got, scheduler.NoSlot)
 
   @given(st.lists(st.floats(0, 2), max_size=60))
   def test_limit_stays_within_its_bounds(self, times):
