--- a/mustardfall/gateway.py
+++ b/mustardfall/gateway.py
@@ -208,7 +208,7 @@
         # returned, and granted again if the new limit allows.
         self.accounts.pool.retire(name)
 
-  async def take_endpoints(self, hosts: list[endpoints.Host]) -> None:
+  async def take_endpoints(self, hosts: list[endpoints.EndpointEntry]) -> None:
     """Applies a complete list of endpoints.
 
     Idle connections to servers that were removed or restarted are closed. A
--- a/mustardfall/routing/directory.py
+++ b/mustardfall/routing/directory.py
@@ -43,7 +43,7 @@
     self._clock = clock
     self.configuration: configuration.Configuration | None = None
     self.endpoints = endpoints.Table(config, cold)
-    self._hosts: dict[str, endpoints.Host] = {}
+    self._hosts: dict[str, endpoints.EndpointEntry] = {}
     self._keep_missing_until = -float("inf")
     self._listed_at = -float("inf")
     self.in_force_since: datetime.datetime | None = None
@@ -86,7 +86,7 @@
     """Seconds since the configuration was last known to be the newest."""
     return self._clock.monotonic() - self._confirmed_at
 
-  def apply_endpoints(self, hosts: list[endpoints.Host]) -> bool:
+  def apply_endpoints(self, hosts: list[endpoints.EndpointEntry]) -> bool:
     """Applies a complete list of endpoints; returns whether any changed."""
     now = self._clock.monotonic()
     if now - self._listed_at > _OUTAGE_GAP_S:
--- a/mustardfall/routing/endpoints.py
+++ b/mustardfall/routing/endpoints.py
@@ -43,7 +43,7 @@
 """`unusable`: the endpoint's entry in the list is invalid."""
 
 
-class Host(TypedDict):
+class EndpointEntry(TypedDict):
   """An endpoint's entry in a list of hosts."""
 
   name: str
@@ -124,7 +124,7 @@
     self.rows: dict[str, Row] = {}
     self._new_rows_are_cold = cold
 
-  def update(self, hosts: list[Host]) -> bool:
+  def update(self, hosts: list[EndpointEntry]) -> bool:
     """Applies a complete host list; returns whether any row changed."""
     changed = False
     for host in hosts:
@@ -141,7 +141,7 @@
     self._new_rows_are_cold = self._new_rows_are_cold or bool(hosts)
     return changed
 
-  def _new_row(self, host: Host) -> Row:
+  def _new_row(self, host: EndpointEntry) -> Row:
     return Row(
         name=host["name"],
         url=host["url"],
@@ -267,7 +267,7 @@
           self.adapt_limit(row, waited, now)
 
 
-def _has_restarted(row: Row, host: Host) -> bool:
+def _has_restarted(row: Row, host: EndpointEntry) -> bool:
   """Whether the endpoint in `row` has restarted according to `host`.
 
   Its caches and queue are empty then, and what was measured before the restart
@@ -278,7 +278,7 @@
   return known and row.started_ms != started_ms
 
 
-def _apply_host(row: Row, host: Host) -> bool:
+def _apply_host(row: Row, host: EndpointEntry) -> bool:
   """Updates a row from its entry; returns whether state or address changed."""
   state = host.get("state", "live")
   if state == "unusable":
--- a/mustardfall/routing/hostlist.py
+++ b/mustardfall/routing/hostlist.py
@@ -22,7 +22,7 @@
     self._url = url.rstrip("/") + "/hosts"
     self._etag = ""
 
-  async def poll(self) -> list[endpoints.Host] | None:
+  async def poll(self) -> list[endpoints.EndpointEntry] | None:
     """Returns the entries of the list, or None if it has not changed.
 
     Raises:
