--- a/mustardfall/membership/verdicts.py
+++ b/mustardfall/membership/verdicts.py
@@ -84,7 +84,7 @@
     datagrams.connect(datagrams_lib.Kind.SUSPECT, self._handle_suspect)
     datagrams.connect(datagrams_lib.Kind.VERDICT, self._handle_verdicts)
 
-  def note_end(self, suspect: quarantine.Suspect) -> None:
+  def note_end(self, suspect: quarantine.CrashReport) -> None:
     """Records that an endpoint crashed while running a request."""
     content = json.dumps(suspect).encode()
     for router in self._counting_routers(suspect.fingerprint):
@@ -115,7 +115,7 @@
     candidates = self._members.candidates(fingerprint)
     return [member for member in candidates if member.life != me]
 
-  def _count_crash(self, suspect: quarantine.Suspect) -> None:
+  def _count_crash(self, suspect: quarantine.CrashReport) -> None:
     if self._table.note_crash(suspect):
       self._publish(
           quarantine.Verdict(
@@ -131,7 +131,7 @@
     fingerprint, team, endpoint, ran_s = json.loads(raw)
     _check_names(fingerprint, team, endpoint)
     self._count_crash(
-        quarantine.Suspect(fingerprint, team, endpoint, float(ran_s))
+        quarantine.CrashReport(fingerprint, team, endpoint, float(ran_s))
     )
 
   def _handle_verdicts(self, raw: bytes) -> None:
--- a/mustardfall/routing/quarantine.py
+++ b/mustardfall/routing/quarantine.py
@@ -36,7 +36,7 @@
 _DIGEST_BYTES = 12
 
 
-class Suspect(NamedTuple):
+class CrashReport(NamedTuple):
   """A report that an endpoint crashed while it ran a request."""
 
   fingerprint: str
@@ -101,7 +101,7 @@
       return 0.0
     return max(0.0, row.quarantined_until - self._clock.monotonic())
 
-  def note_crash(self, suspect: Suspect) -> bool:
+  def note_crash(self, suspect: CrashReport) -> bool:
     """Records that an endpoint crashed while it ran a request.
 
     Returns:
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -21,7 +21,7 @@
     self.clock.advance(datetime.timedelta(seconds=seconds))
 
   def _crash(self, request, endpoint, team="acme", ran_s=_RAN_S):
-    suspect = quarantine.Suspect(request, team, endpoint, ran_s)
+    suspect = quarantine.CrashReport(request, team, endpoint, ran_s)
     return self.table.note_crash(suspect)
 
   def _crash_apart(self, request, number, team="acme"):
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -131,7 +131,7 @@
   async def crash_endpoints(self, request: str, number: int, offset=0) -> None:
     """Crashes endpoints with a request, each seen by another router."""
     for n in range(offset, offset + number):
-      suspect = quarantine.Suspect(request, "acme", f"{request}-{n}", 0.1)
+      suspect = quarantine.CrashReport(request, "acme", f"{request}-{n}", 0.1)
       self.verdicts[(7 * n) % _ROUTERS].note_end(suspect)
       await anyio.sleep(0.35)
 
@@ -221,7 +221,7 @@
   async def test_other_requests_on_a_crashed_endpoint_cost_little(self, fleet):
     """Guards against a store call for every request on a crashed endpoint."""
     for number in range(24):
-      suspect = quarantine.Suspect(f"beside{number}", "acme", "e", 0.5)
+      suspect = quarantine.CrashReport(f"beside{number}", "acme", "e", 0.5)
       fleet.verdicts[number].note_end(suspect)
     calls, sent = fleet.store.calls, fleet.net.sent
     for number in range(24):
