--- a/mustardfall/bench/scenarios.py
+++ b/mustardfall/bench/scenarios.py
@@ -182,7 +182,7 @@
       tag = f"{name}-{i}"
       try:
         revision = await stage.operate(functools.partial(_retag, tag=tag))
-      except errors.CatalogueRaceLostError:
+      except errors.CatalogueConflictError:
         lost += 1
         continue
       accepted.append(revision)
--- a/mustardfall/catalogue/store.py
+++ b/mustardfall/catalogue/store.py
@@ -147,7 +147,7 @@
   snapshot = await _read_snapshot(kv)
   base = snapshot.revision if spec.base is None else spec.base
   if base != snapshot.revision:
-    raise errors.CatalogueRaceLostError(
+    raise errors.CatalogueConflictError(
         f"catalogue is at {snapshot.revision}, not {base}"
     )
   # Budgets come first: callers of an entry without a budget would be refused.
@@ -237,7 +237,7 @@
       raise
     return record.mod_revision
   if not result.succeeded:
-    raise errors.CatalogueRaceLostError(
+    raise errors.CatalogueConflictError(
         f"the catalogue was changed since revision {revision}"
     )
   return result.revision
--- a/mustardfall/cli.py
+++ b/mustardfall/cli.py
@@ -107,7 +107,7 @@
     revision = anyio.run(
         _call_with_kv, kv_url, lambda kv: store.apply(kv, new_catalogue, only)
     )
-  except errors.CatalogueRaceLostError as exc:
+  except errors.CatalogueConflictError as exc:
     raise click.ClickException(
         f"not applied: {exc}; re-read and edit again"
     ) from exc
--- a/mustardfall/errors.py
+++ b/mustardfall/errors.py
@@ -25,7 +25,7 @@
   """Another router gave no usable answer; the call may have taken effect."""
 
 
-class CatalogueRaceLostError(Error):
+class CatalogueConflictError(Error):
   """Another operator changed the catalogue first; nothing was written."""
 
 
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -95,7 +95,7 @@
       await store.apply(kv, mine)
       try:
         await store.apply(kv, theirs)
-      except errors.CatalogueRaceLostError:
+      except errors.CatalogueConflictError:
         pass
       else:
         raise AssertionError("second apply was not refused")
