--- a/mustardfall/membership/members.py
+++ b/mustardfall/membership/members.py
@@ -252,7 +252,7 @@
     while True:
       try:
         revision, records = await self._kv.get_prefix(PREFIX)
-        self.set_connected(True)
+        self.set_list_current(True)
         self.update(decode(records))
         async for event in self._kv.watch(
             PREFIX, revision + 1, self._config.watch_idle_s
@@ -261,10 +261,10 @@
       except (errors.KvUnavailableError, errors.KvUnknownError) as exc:
         logger.debug("member watch broke: %s", exc)
       # While disconnected, the last known list stays in use: none is gone.
-      self.set_connected(False)
+      self.set_list_current(False)
       await anyio.sleep(_RETRY_S)
 
-  def set_connected(self, is_connected: bool) -> None:
+  def set_list_current(self, is_connected: bool) -> None:
     """Records whether the list of routers is being kept current."""
     if not is_connected:
       self._connected_since = None
