--- a/mustardfall/overhead.py
+++ b/mustardfall/overhead.py
@@ -73,7 +73,7 @@
       counts, sizes = self.counts.copy(), self.sizes.copy()
 
 
-def name_call(target: str) -> str:
+def call_kind(target: str) -> str:
   """Returns the kind of a call to `target`: its path without ids."""
   path = target.partition("?")[0]
   return "/".join(path.split("/")[:_KIND_SEGMENTS])
--- a/tests/test_overhead.py
+++ b/tests/test_overhead.py
@@ -20,5 +20,5 @@
     )
 
   def test_ids_are_not_part_of_the_kind_of_a_call(self):
-    self.assertEqual("/-/kv-keep", overhead.name_call("/-/kv-keep/712"))
-    self.assertEqual("/-/kv-key", overhead.name_call("/-/kv-key?key=a/b/c"))
+    self.assertEqual("/-/kv-keep", overhead.call_kind("/-/kv-keep/712"))
+    self.assertEqual("/-/kv-key", overhead.call_kind("/-/kv-key?key=a/b/c"))
