--- a/mustardfall/membership/members.py
+++ b/mustardfall/membership/members.py
@@ -159,7 +159,7 @@
     return len(self._lives) > MAX_SMALL_FLEET
 
   @property
-  def regions(self) -> int:
+  def region_count(self) -> int:
     """The number of regions with routers that are up."""
     return len({m.region for m in self._by_name.values()})
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -79,7 +79,7 @@
     far = [_member(i, "far") for i in range(10, 20)]
     self.view.update([_member(0), _member(1), *far])
     self.assertEqual({"r0", "r1"}, set(self._owners().values()))
-    self.assertEqual(2, self.view.regions)
+    self.assertEqual(2, self.view.region_count)
 
   def test_router_that_does_not_answer_is_suspected_for_some_time(self):
     # Its lease expires much later; until then every request on its budgets
