--- a/mustardfall/catalogue/store.py
+++ b/mustardfall/catalogue/store.py
@@ -47,9 +47,9 @@
   """The catalogue in the KV at one revision."""
 
   revision: int
-  """Of the catalogue's head; it increases with every change (0: no
+  """Revision of the catalogue's head; it increases with every change (0: no
   catalogue)."""
-  read_at: int
+  kv_revision: int
   """The revision of the KV when the first page was read."""
   head: table_lib.Head
   entries: list[model.EntrySpec]
@@ -88,16 +88,16 @@
   newer than the first page reveals this, and the catalogue is read again.
   """
   for _ in range(_READ_ATTEMPTS):
-    read_at, revision, head, entries = 0, 0, table_lib.NO_HEAD, []
+    kv_revision, revision, head, entries = 0, 0, table_lib.NO_HEAD, []
     async for page_revision, records in kv.get_pages(PREFIX, _PAGE_SIZE):
-      read_at = read_at or page_revision
+      kv_revision = kv_revision or page_revision
       for record in records:
         if record.key == HEAD_KEY:
           revision, head = record.mod_revision, _decode_head(record)
         else:
           entries.append(_decode_entry(record))
-    if revision <= read_at:
-      return _Snapshot(revision, read_at, head, entries)
+    if revision <= kv_revision:
+      return _Snapshot(revision, kv_revision, head, entries)
   raise errors.KvUnavailableError(
       f"the catalogue changed during each of {_READ_ATTEMPTS} reads"
   )
@@ -122,7 +122,7 @@
 
 
 async def apply(
-    kv: kv_client.Client, spec: model.CatalogueSpec, only: bool = False
+    kv: kv_client.Client, spec: model.CatalogueSpec, partial: bool = False
 ) -> int:
   """Writes `spec` if the catalogue is still at revision `spec.base`.
 
@@ -134,14 +134,14 @@
 
   Args:
     kv: the KV client.
-    spec: the catalogue, or with `only` the entries to add or change.
-    only: leave everything that `spec` does not name unchanged.
+    spec: the catalogue, or with `partial` the entries to add or change.
+    partial: leave everything that `spec` does not name unchanged.
 
   Returns:
     The new revision.
 
   Raises:
-    errors.CatalogueRaceLostError: the catalogue was changed since `spec.base`,
+    errors.CatalogueConflictError: the catalogue was changed since `spec.base`,
       or since it was read here if `spec` has no base.
   """
   snapshot = await _read_snapshot(kv)
@@ -152,8 +152,8 @@
     )
   # Budgets come first: callers of an entry without a budget would be refused.
   await _create_budgets(kv, spec)
-  ops = _diff(snapshot, spec, only)
-  head = _merge_head(snapshot.head, spec, only)
+  ops = _diff(snapshot, spec, partial)
+  head = _merge_head(snapshot.head, spec, partial)
   revision = snapshot.revision
   for i in range(0, max(1, len(ops)), _OPS_PER_TXN):
     batch = ops[i : i + _OPS_PER_TXN]
@@ -162,7 +162,7 @@
 
 
 def _diff(
-    snapshot: _Snapshot, spec: model.CatalogueSpec, only: bool
+    snapshot: _Snapshot, spec: model.CatalogueSpec, partial: bool
 ) -> list[dict[str, Any]]:
   """Returns the operations that change the entries in the KV into `spec`'s."""
   existing = {e.name: e for e in snapshot.entries}
@@ -171,20 +171,22 @@
       for e in spec.entries
       if existing.get(e.name) != e
   ]
-  if not only:
+  if not partial:
     wanted = {e.name for e in spec.entries}
     ops += [
         protocol.Delete(ENTRY_PREFIX + n) for n in existing if n not in wanted
     ]
-  _check_api_keys(existing, spec, only)
+  _check_api_keys(existing, spec, partial)
   return ops
 
 
 def _check_api_keys(
-    existing: dict[str, model.EntrySpec], spec: model.CatalogueSpec, only: bool
+    existing: dict[str, model.EntrySpec],
+    spec: model.CatalogueSpec,
+    partial: bool,
 ) -> None:
   """Raises an error if an API key is used by another entry."""
-  if not only:
+  if not partial:
     return  # `spec` is complete, and its keys were checked when it was parsed
   changed = {e.name for e in spec.entries}
   taken = {e.api_key: n for n, e in existing.items() if n not in changed}
@@ -196,9 +198,9 @@
 
 
 def _merge_head(
-    existing: table_lib.Head, spec: model.CatalogueSpec, only: bool
+    existing: table_lib.Head, spec: model.CatalogueSpec, partial: bool
 ) -> table_lib.Head:
-  if not only:
+  if not partial:
     return table_lib.Head(spec.customers, spec.placements)
   customers = {c.name: c for c in [*existing.customers, *spec.customers]}
   placements = {p.engine: p for p in [*existing.placements, *spec.placements]}
@@ -214,7 +216,7 @@
   """Writes `ops` and the head in one transaction; returns the new revision.
 
   Raises:
-    errors.CatalogueRaceLostError: the head is no longer at `revision`.
+    errors.CatalogueConflictError: the head is no longer at `revision`.
   """
   value = json.dumps(
       {
@@ -295,11 +297,12 @@
             snapshot.revision, snapshot.entries, snapshot.head
         ):
           self._note_change()
-        await self._watch(snapshot.read_at + 1)
+        await self._watch(snapshot.kv_revision + 1)
       except (errors.KvUnavailableError, errors.KvUnknownError) as exc:
         logger.debug("watching the catalogue failed: %s", exc)
       except errors.SettingsError as exc:
-        # Not written by this project's CLI; the catalogue in force is kept.
+        # The data was not written by this project's CLI; keep the current
+        # catalogue.
         logger.error("invalid catalogue in the KV ignored: %s", exc)
       await anyio.sleep(_RETRY_S)
 
@@ -312,7 +315,8 @@
     """Applies one change, unless it is older than the catalogue in force."""
     record = event.record
     if record.key == HEAD_KEY:
-      # Each change writes the head last, so it has been received completely.
+      # Each transaction writes the head last, so all of its entries have been
+      # received.
       if not event.deleted and self.current.set_head(
           record.mod_revision, _decode_head(record)
       ):
--- a/mustardfall/catalogue/table.py
+++ b/mustardfall/catalogue/table.py
@@ -38,7 +38,10 @@
 
   name: str
   customer: str
+  """Decides how a budget is treated that runs low, see `Table.policy_of`."""
   team: str
+  """The customer's team that the entry is for, as written by operators; routing
+  and budgets do not depend on it."""
   klass: model.Klass
   model: str
 
@@ -57,7 +60,11 @@
 
 
 class _Columns:
-  """Entries as columns, in the order of their API key's digest."""
+  """Entries as columns, to be searched by the digest of their API key.
+
+  Only `_digests` is sorted. `_rows` maps each position in it to the position of
+  the entry in the other columns.
+  """
 
   def __init__(self, entries: Iterable[model.EntrySpec]) -> None:
     digests, names = bytearray(), bytearray()
@@ -109,7 +116,7 @@
     self._overlay: dict[bytes, CallerEntry] = {}
     """Entries changed since `_base` was read, by the digest of their API
     key."""
-    self._weighs: dict[str, policy.Preference] = {}
+    self._preferences: dict[str, policy.Preference] = {}
     self.placements: dict[str, frozenset[str]] = {}
     """The models that engines should have loaded, by the engine's name."""
 
@@ -131,7 +138,7 @@
     """Replaces the head's contents; returns False if `revision` is older."""
     if revision < self.revision:
       return False
-    self._weighs = {c.name: c.weighs for c in head.customers}
+    self._preferences = {c.name: c.weighs for c in head.customers}
     self.placements = {p.engine: frozenset(p.models) for p in head.placements}
     self.revision = revision
     return True
@@ -172,5 +179,5 @@
 
   def policy_of(self, customer: str) -> policy.Policy:
     """Returns how the customer's budgets are treated when they run low."""
-    weighs = self._weighs.get(customer, policy.Preference.OVERSPEND)
-    return policy.POLICIES[weighs]
+    preference = self._preferences.get(customer, policy.Preference.OVERSPEND)
+    return policy.POLICIES[preference]
--- a/mustardfall/idempotency.py
+++ b/mustardfall/idempotency.py
@@ -8,8 +8,8 @@
 while its record is kept.
 
 Each claim has an id of its own. If a claim named only the router, two attempts
-on the same router, one of them after a lost reply, could both take the record
-for their own and both send the call.
+on the same router, one of them after a lost reply, could both consider the
+record their own and both send the call.
 """
 
 import enum
@@ -25,7 +25,7 @@
 
 PREFIX = "idem/"
 _FINISH_WAIT_S = 0.3
-"""How long the answer to the caller waits until the outcome is recorded."""
+"""Maximum time that the response is delayed until the outcome is recorded."""
 
 
 class State(enum.StrEnum):
@@ -49,8 +49,8 @@
   status: int
   answer: Any
   fingerprint: NotRequired[str]
-  """Of the request that claimed the key; a different one must not get its
-  answer."""
+  """Fingerprint of the request that claimed the key; a request with another
+  fingerprint must not get its answer."""
 
 
 class Claim(NamedTuple):
--- a/mustardfall/kv/circuit_breaker.py
+++ b/mustardfall/kv/circuit_breaker.py
@@ -9,15 +9,16 @@
 
 _FAILURE_THRESHOLD = 2
 """Consecutive failures that open the breaker. One lost answer is common; two
-are not. While the breaker is open, calls that requests wait for fail at once,
-except for an occasional probe that finds out whether the store is back."""
+are not. While the breaker is open, calls fail at once, except for reads and
+watches of a prefix, whose callers limit their own rate, and an occasional probe
+that finds out whether the store is back."""
 _FIRST_PROBE_DELAY_S = 0.3
 """Delay between opening the breaker and the first probe."""
 _MAX_PROBE_DELAY_S = 2.0
 _PROBE_BACKOFF = 1.6
 """Factor by which the delay grows after each failed probe: a fleet that the
 store refuses must not use up its rate limit with probes."""
-_SPREAD = 0.25
+_JITTER = 0.25
 """Random part of the time between two probes."""
 
 
@@ -34,8 +35,8 @@
     self._clock = clock
     self._failures = 0
     self._opened_at: float | None = None
-    self._pause_s = _FIRST_PROBE_DELAY_S
-    self._try_at = 0.0
+    self._probe_delay_s = _FIRST_PROBE_DELAY_S
+    self._next_probe_at = 0.0
 
   @property
   def is_open(self) -> bool:
@@ -47,16 +48,18 @@
     if not self.is_open:
       return True
     now = self._clock.monotonic()
-    if now < self._try_at:
+    if now < self._next_probe_at:
       return False
     self._schedule_probe(now)
     return True
 
   def _schedule_probe(self, now: float) -> None:
     """Sets the time of the next probe, and lengthens the delay after it."""
-    spread = 1 + _SPREAD * (random.random() - 0.5)
-    self._try_at = now + self._pause_s * spread
-    self._pause_s = min(_MAX_PROBE_DELAY_S, self._pause_s * _PROBE_BACKOFF)
+    jitter = 1 + _JITTER * (random.random() - 0.5)
+    self._next_probe_at = now + self._probe_delay_s * jitter
+    self._probe_delay_s = min(
+        _MAX_PROBE_DELAY_S, self._probe_delay_s * _PROBE_BACKOFF
+    )
 
   def record(self, error: str | None) -> None:
     """Records the outcome of a call: the error, or None if it was answered."""
@@ -71,6 +74,6 @@
     self._failures += 1
     if self._opened_at is None and self._failures >= _FAILURE_THRESHOLD:
       self._opened_at = now
-      self._pause_s = _FIRST_PROBE_DELAY_S
+      self._probe_delay_s = _FIRST_PROBE_DELAY_S
       self._schedule_probe(now)
       logger.warning("store lost", extra={"error": error})
--- a/mustardfall/kv/writer.py
+++ b/mustardfall/kv/writer.py
@@ -30,7 +30,7 @@
 """Attempts among these whose reply may be lost; each takes a full timeout."""
 _CONFLICT_BACKOFF_S = 0.004
 """Upper bound of the random pause after a first conflict, about the duration
-of a call. It grows with each further conflict, so that routers that write the
+of a call. It grows with each further attempt, so that routers that write the
 same key take turns."""
 _MAX_CONFLICT_BACKOFF_S = 0.02
 _FLUSH_POLL_S = 0.02
@@ -39,7 +39,7 @@
 
 
 @dataclasses.dataclass
-class _Submission:
+class _PendingChange:
   """A pending change and its outcome."""
 
   key: str
@@ -85,13 +85,13 @@
     self._clock = clock
     self._on_value = on_value or (lambda key, value: None)
     self._lease_of = lease_of or (lambda key: 0)
-    self._waiting: collections.deque[_Submission] = collections.deque()
-    self._posted: collections.deque[_Submission] = collections.deque()
+    self._submitted: collections.deque[_PendingChange] = collections.deque()
+    self._posted: collections.deque[_PendingChange] = collections.deque()
     self._wake = anyio.Event()
     self._cache: collections.OrderedDict[str, _CachedValue] = (
         collections.OrderedDict()
     )
-    self._last_commit = -float("inf")
+    self._last_attempt_at = -float("inf")
     self._committing = False
     self._flushing = False
     self._stopped = False
@@ -128,13 +128,13 @@
       raise errors.KvUnavailableError(
           f"{key} not written: the last transaction failed"
       )
-    submission = _Submission(key, change, anyio.Event())
-    self._waiting.append(submission)
+    pending = _PendingChange(key, change, anyio.Event())
+    self._submitted.append(pending)
     self._wake.set()
-    await submission.done.wait()
-    if submission.error is not None:
-      raise submission.error
-    return submission.after
+    await pending.done.wait()
+    if pending.error is not None:
+      raise pending.error
+    return pending.after
 
   def post(self, key: str, change: Any) -> None:
     """Queues `change`, which is retried until it is written.
@@ -143,7 +143,7 @@
     settlement, an outcome). They are written in the next batch of submitted
     changes, or after `linger_s` without one.
     """
-    self._posted.append(_Submission(key, change))
+    self._posted.append(_PendingChange(key, change))
     self._wake.set()
 
   async def run(self) -> None:
@@ -155,18 +155,18 @@
       # Callers wait for grants in a shielded scope. A wait for a writer that
       # has stopped would keep the process from ever exiting.
       self._stopped = True
-      for submission in self._waiting:
-        submission.error = errors.KvUnavailableError(
-            f"{submission.key} not written: writer has stopped"
+      for pending in self._submitted:
+        pending.error = errors.KvUnavailableError(
+            f"{pending.key} not written: writer has stopped"
         )
-        submission.done.set()
-      self._waiting.clear()
+        pending.done.set()
+      self._submitted.clear()
 
   async def _run(self) -> None:
     while True:
       await self._wake.wait()
       self._wake = anyio.Event()
-      while self._waiting or self._posted:
+      while self._submitted or self._posted:
         await self._throttle()
         if not await self.commit_once():
           self._paused = True
@@ -182,8 +182,8 @@
     called, else `linger_s`.
     """
     while True:
-      since = self._clock.monotonic() - self._last_commit
-      is_urgent = self._waiting or self._flushing
+      since = self._clock.monotonic() - self._last_attempt_at
+      is_urgent = self._submitted or self._flushing
       config = self._config
       pause = (config.interval_s if is_urgent else config.linger_s) - since
       if pause <= 0:
@@ -203,7 +203,7 @@
     self._flushing = True
     self._wake.set()
     with anyio.move_on_after(deadline_s):
-      while self._waiting or self._posted or self._committing:
+      while self._submitted or self._posted or self._committing:
         await anyio.sleep(_FLUSH_POLL_S)
 
   async def commit_once(self) -> bool:
@@ -219,10 +219,14 @@
       raise
     finally:
       self._committing = False
-      self._last_commit = self._clock.monotonic()
+      self._last_attempt_at = self._clock.monotonic()
 
-  async def _try_commit(self, batch: list[_Submission]) -> bool:
-    """Writes changes, or marks them failed; returns whether the KV answered."""
+  async def _try_commit(self, batch: list[_PendingChange]) -> bool:
+    """Writes changes; on failure, fails the submitted and requeues the posted.
+
+    Returns:
+      Whether the KV answered.
+    """
     try:
       is_written = await self._commit(batch)
     except (errors.KvUnavailableError, errors.KvUnknownError) as exc:
@@ -231,20 +235,20 @@
       return isinstance(exc, errors.KvConflictError)
     if not is_written:
       return await self._commit_per_key(batch)
-    for submission in batch:
-      if submission.done is not None:
-        submission.done.set()
+    for pending in batch:
+      if pending.done is not None:
+        pending.done.set()
     return True
 
-  async def _commit_per_key(self, batch: list[_Submission]) -> bool:
+  async def _commit_per_key(self, batch: list[_PendingChange]) -> bool:
     """Writes changes in one transaction per key, after a conflict.
 
     While other routers write some of the keys, a transaction of all keys would
     conflict again and again, and delay the changes to uncontended keys.
     """
-    by_key: dict[str, list[_Submission]] = {}
-    for submission in batch:
-      by_key.setdefault(submission.key, []).append(submission)
+    by_key: dict[str, list[_PendingChange]] = {}
+    for pending in batch:
+      by_key.setdefault(pending.key, []).append(pending)
     answered = True
     for key_batch in by_key.values():
       if answered:
@@ -255,34 +259,34 @@
         )
     return answered
 
-  def _next_batch(self) -> list[_Submission]:
+  def _next_batch(self) -> list[_PendingChange]:
     """Dequeues submitted, then posted, changes to at most `max_keys` keys."""
     batch, keys = [], set()
-    for queue in (self._waiting, self._posted):
+    for queue in (self._submitted, self._posted):
       for _ in range(len(queue)):
-        submission = queue.popleft()
-        if submission.key in keys or len(keys) < self._config.max_keys:
-          keys.add(submission.key)
-          batch.append(submission)
+        pending = queue.popleft()
+        if pending.key in keys or len(keys) < self._config.max_keys:
+          keys.add(pending.key)
+          batch.append(pending)
         else:
-          queue.append(submission)
+          queue.append(pending)
     return batch
 
   def _fail_or_requeue(
-      self, batch: list[_Submission], exc: errors.Error
+      self, batch: list[_PendingChange], exc: errors.Error
   ) -> None:
     """Reports `exc` to callers that wait, and queues posted changes again."""
-    for submission in batch:
-      self._cache.pop(submission.key, None)
-      if submission.done is not None and submission.done.is_set():
+    for pending in batch:
+      self._cache.pop(pending.key, None)
+      if pending.done is not None and pending.done.is_set():
         continue
-      if submission.done is None:
-        self._posted.append(submission)
+      if pending.done is None:
+        self._posted.append(pending)
         continue
-      submission.error = exc
-      submission.done.set()
+      pending.error = exc
+      pending.done.set()
 
-  async def _commit(self, batch: list[_Submission]) -> bool:
+  async def _commit(self, batch: list[_PendingChange]) -> bool:
     """Writes changes in one transaction.
 
     Returns:
@@ -304,7 +308,7 @@
           self.counts["no_ops"] += 1
           return True
         sent = True
-        if await self._swap(values):
+        if await self._compare_and_swap(values):
           return True
         sent = False
         if len(keys) > 1 and not may_be_written:
@@ -329,21 +333,21 @@
         f"{len(keys)} keys: transaction failed after conflicts or lost replies"
     )
 
-  async def _back_off(self, conflicts: int) -> None:
-    """Pauses at random, for longer the more conflicts there were."""
-    max_s = min(_MAX_CONFLICT_BACKOFF_S, (conflicts + 1) * _CONFLICT_BACKOFF_S)
+  async def _back_off(self, attempt: int) -> None:
+    """Pauses for a random time, whose upper bound grows with each attempt."""
+    max_s = min(_MAX_CONFLICT_BACKOFF_S, (attempt + 1) * _CONFLICT_BACKOFF_S)
     await anyio.sleep(max_s * self._random.random())
 
   async def _prepare(
-      self, batch: list[_Submission], keys: list[str]
+      self, batch: list[_PendingChange], keys: list[str]
   ) -> dict[str, change_lib.Value]:
     """Returns the values to write; reads keys that are not cached."""
     fresh = {k for k in keys if k not in self._cache}
     await self._read(list(fresh))
     values, unconfirmed = self._plan(batch, fresh)
     if unconfirmed:
-      # By a cached value there is nothing to write, e.g. a grant is refused
-      # for lack of headroom, but a top-up may have added headroom since.
+      # According to a cached value there is nothing to write, e.g. a grant is
+      # refused for lack of headroom, but a top-up may have added headroom since.
       # Read again, as a refusal based on a stale value would be wrong.
       await self._read(unconfirmed)
       values, _ = self._plan(batch, fresh.union(unconfirmed))
@@ -358,27 +362,29 @@
       self._cache_record(key, records.get(key))
 
   def _plan(
-      self, batch: list[_Submission], fresh: set[str]
+      self, batch: list[_PendingChange], fresh: set[str]
   ) -> tuple[dict[str, change_lib.Value], list[str]]:
     """Returns the values to write, and keys to read again.
 
-    These are the keys of changes that are no-ops by a cached value.
+    These are the keys of changes that are no-ops according to a cached value.
     """
     values: dict[str, change_lib.Value] = {}
     unconfirmed = []
-    for submission in batch:
-      key = submission.key
+    for pending in batch:
+      key = pending.key
       before = values.get(key, self._cache[key].value)
-      after = change_lib.apply(submission.change, before)
+      after = change_lib.apply(pending.change, before)
       if after is None:
         if key not in fresh:
           unconfirmed.append(key)
-        submission.after = before
+        pending.after = before
       else:
-        values[key] = submission.after = after
+        values[key] = pending.after = after
     return values, unconfirmed
 
-  async def _swap(self, values: dict[str, change_lib.Value]) -> bool:
+  async def _compare_and_swap(
+      self, values: dict[str, change_lib.Value]
+  ) -> bool:
     compares = [
         protocol.Compare(key, "MOD", self._cache[key].revision)
         for key in values
--- a/mustardfall/membership/clockcheck.py
+++ b/mustardfall/membership/clockcheck.py
@@ -130,7 +130,7 @@
     return heapq.nsmallest(
         _MAX_SAMPLE,
         self._members.others,
-        key=lambda other: members_lib.rank(f"{life} {other.name}"),
+        key=lambda other: members_lib.rank_key(f"{life} {other.name}"),
     )
 
   def _quorum(self, asked: int) -> int:
--- a/mustardfall/membership/loadshare.py
+++ b/mustardfall/membership/loadshare.py
@@ -50,7 +50,7 @@
     self._datagrams = datagrams
     self._clock = clock
     self._changed = anyio.Event()
-    me = members_lib.rank(members.me.name)
+    me = members_lib.rank_key(members.me.name)
     self._next_receiver = int.from_bytes(me)
     """Position of the next receiver in the list of others. It starts at a hash
     of the name: if all routers started with the same receivers, these would get
--- a/mustardfall/membership/members.py
+++ b/mustardfall/membership/members.py
@@ -30,7 +30,8 @@
 _RANK_CACHE_SIZE = 2_000
 """More than the number of routers in the largest fleet."""
 _MAX_REPLACED_LIVES = 4_000
-"""Replaced lives remembered: two days of restarts in the largest fleet."""
+"""Replaced lives (a router's life is one run of its process) remembered: two
+days of restarts in the largest fleet."""
 _CANDIDATE_COUNT = 3
 """Routers that are asked for tokens in turn: the owner, and two deputies that
 may reach the KV while the owner does not."""
@@ -98,7 +99,7 @@
     self._lease = 0
     self._owner_names: list[str] = []
     self._ranked: list[str] = []
-    """Names of the region's routers in the order of the function `rank`."""
+    """Names of the region's routers, ordered by `rank_key`."""
     self.rank = 0
     """This router's position in that order."""
     self._ring = ring.Ring()
@@ -116,7 +117,7 @@
     in_region = [
         m.name for m in self._by_name.values() if m.region == self.me.region
     ]
-    self._ranked = sorted(in_region, key=rank)
+    self._ranked = sorted(in_region, key=rank_key)
     self.rank = self._ranked.index(self.me.name)
     # Fewer owners write larger batches: KV writes grow with the number of
     # owners, not with that of routers.
@@ -150,7 +151,7 @@
 
   @property
   def ranked(self) -> list[Member]:
-    """The region's routers in the order of the function `rank`."""
+    """The region's routers, ordered by `rank_key`."""
     return [self._by_name[name] for name in self._ranked]
 
   @property
@@ -214,7 +215,7 @@
     """Returns for how many seconds `life` has been absent; -1 if it is not.
 
     Only time with a current list counts: a router that was disconnected from
-    the KV, or paused, must not take all others for gone.
+    the KV, or paused, must not consider all others gone.
     """
     now = self._clock.monotonic()
     if life in self._lives or self._connected_since is None:
@@ -229,7 +230,7 @@
       try:
         if self._lease == 0 or await self._kv.keep_alive(self._lease) == 0:
           # The first registration, or the lease expired while this router was
-          # paused or disconnected, and the others take it for gone.
+          # paused or disconnected, and the others consider it gone.
           self._lease = await self._kv.grant_lease(self._config.ttl_s)
           value = json.dumps(self.me._asdict()).encode()
           await self._kv.put(PREFIX + self.me.name, value, self._lease)
@@ -259,8 +260,9 @@
         ):
           self._apply_event(event)
       except (errors.KvUnavailableError, errors.KvUnknownError) as exc:
-        logger.debug("member watch broke: %s", exc)
-      # While disconnected, the last known list stays in use: none is gone.
+        logger.debug("watching the member list failed: %s", exc)
+      # While disconnected, the last known list stays in use, and no
+      # router is considered gone.
       self.set_list_current(False)
       await anyio.sleep(_RETRY_S)
 
@@ -304,7 +306,7 @@
 
 
 @functools.lru_cache(_RANK_CACHE_SIZE)
-def rank(name: str) -> bytes:
+def rank_key(name: str) -> bytes:
   """Returns the sort key of a name, which is the same on all routers.
 
   It is a hash, so a router that joins or leaves does not reorder the others.
--- a/mustardfall/membership/notices.py
+++ b/mustardfall/membership/notices.py
@@ -5,8 +5,8 @@
 routers (readers) read the documents. They announce by datagram the digests of
 the current versions, and what has changed. A router that has the same version,
 or the previous one, needs no call. A router that receives no notices for some
-time reads for itself, a few deputies first: they replace a reader that died,
-hangs or is disconnected, and announce to the others in its place.
+time reads for itself, a few standby readers first: they replace a reader that
+died, hangs or is disconnected, and announce to the others in its place.
 """
 
 from typing import Any, NamedTuple
@@ -21,11 +21,11 @@
 
 _READERS = 2
 """Readers of a region; one alone may be disconnected from the KV."""
-_DEPUTIES = 6
-"""Deputies, which start to read in turn if the readers fall silent."""
-_FIRST_DEPUTY_DELAY = 0.55
-"""Delay of the first deputy, as a share of the silence after which any router
-reads; the last deputy's delay is a little less than that of all others."""
+_STANDBY_READERS = 6
+"""Standby readers, which start to read in turn if no notices arrive."""
+_FIRST_STANDBY_DELAY = 0.55
+"""Delay of the first standby reader as a fraction of `silence_s`; the others'
+delays are spread evenly between it and `silence_s`."""
 _RESEND_DELAY_S = 0.05
 """Each change is announced twice, as one datagram in some hundreds is lost."""
 _MAX_DATAGRAM_BYTES = 1_300
@@ -80,24 +80,25 @@
 
   @property
   def is_announcer(self) -> bool:
-    """Whether this router, a reader or deputy, announces what it reads."""
+    """Whether this router, a reader or standby, announces what it reads."""
     if not self._datagrams.is_open:
       return False
-    return self._members.rank < _READERS + _DEPUTIES
+    return self._members.rank < _READERS + _STANDBY_READERS
 
   def read_delay_s(self, silence_s: float) -> float:
     """Returns the time without notices after which this router reads.
 
     Args:
-      silence_s: the time after which a router without a role reads.
+      silence_s: the time after which a router that is neither a reader
+        nor a standby reads.
     """
     if self.is_reader:
       return 0.0
     if not self.is_announcer:
       return silence_s
-    position = (self._members.rank - _READERS) / _DEPUTIES
+    position = (self._members.rank - _READERS) / _STANDBY_READERS
     return silence_s * (
-        _FIRST_DEPUTY_DELAY + (1 - _FIRST_DEPUTY_DELAY) * position
+        _FIRST_STANDBY_DELAY + (1 - _FIRST_STANDBY_DELAY) * position
     )
 
   def relay_sources(self) -> list[members_lib.Member]:
@@ -152,7 +153,7 @@
     await self._send({})
 
   async def announce_change(self, name: str, change: deltas.Delta) -> None:
-    """Announces a change of a document to them, twice."""
+    """Announces a document's change to the region's other routers, twice."""
     await self._send({name: change})
     await anyio.sleep(_RESEND_DELAY_S)
     await self._send({name: change})
@@ -194,7 +195,7 @@
     """Updates this router's copy of a document from a notice, if possible."""
     copy = self._copies.find(name)
     if copy is None or notice.as_of <= copy.as_of:
-      return  # the copy was current later than the notice
+      return  # the copy is at least as recent as the notice
     if copy.digest == notice.digest:
       self._copies.confirm(name, notice.as_of)
     elif change:
@@ -206,7 +207,8 @@
         self._copies.put(name, document, notice.as_of)
       elif name == members_lib.PREFIX:
         # Dozens of routers may register at once, and this one may have missed
-        # some notices. Each registration applied need not be read from the KV.
+        # some notices. Apply the change anyway to save reads, but keep the old
+        # `as_of`, so that the copy still counts as outdated.
         self._copies.put(name, document, copy.as_of)
 
 
--- a/mustardfall/membership/relay.py
+++ b/mustardfall/membership/relay.py
@@ -5,7 +5,7 @@
 routers, so that a revoked key or a leaving endpoint becomes known everywhere
 even if only some routers can read the store.
 
-A change that is too large for a datagram is fetched from other routers, too.
+A delta that is too large for a datagram is fetched from other routers, too.
 The store would return the whole document, many times as large, over a link
 that also carries the host's streams to callers.
 """
@@ -40,7 +40,7 @@
 _MAX_UNPACKED_BYTES = 8_388_608
 """Limit of an answer's size after decompression."""
 _PACKED_CACHE_SIZE = 8
-"""Packed changes cached, since a dozen routers ask for the same one."""
+"""Packed deltas cached, since a dozen routers ask for the same one."""
 
 _MALFORMED = (AttributeError, KeyError, TypeError, ValueError)
 """Exceptions that decoding a malformed answer may raise."""
@@ -78,7 +78,7 @@
     self._clock = clock
     self._packed_cache: collections.OrderedDict[tuple[str, str, str], str]
     self._packed_cache = collections.OrderedDict()
-    """Packed changes by document name, digest before and digest after."""
+    """Packed deltas by document name, digest before and digest after."""
 
   async def serve(self, body: dict[str, Any]) -> dict[str, Any]:
     """Answers another router with the documents that were recently current.
@@ -98,14 +98,14 @@
         continue
       answer[name] = {
           "age_s": age_s,
-          **self._describe(name, copy, have.get(name)),
+          **self._encode_copy(name, copy, have.get(name)),
       }
     return answer
 
-  def _describe(
+  def _encode_copy(
       self, name: str, copy: copies_lib.Copy, have: str | None
   ) -> dict[str, Any]:
-    """Returns a document, or the change from the digest `have` if possible."""
+    """Returns a document, or the delta from the digest `have` if possible."""
     before = None if have is None else self._copies.find_previous(name, have)
     if copy.digest == have:
       return {"digest": have}
@@ -114,8 +114,8 @@
     key = (name, before.digest, copy.digest)
     packed = self._packed_cache.get(key)
     if packed is None:
-      change = deltas.diff(before.document, copy.document)
-      packed = base64.b64encode(deltas.pack(change)).decode()
+      delta = deltas.diff(before.document, copy.document)
+      packed = base64.b64encode(deltas.pack(delta)).decode()
       self._packed_cache[key] = packed
       if len(self._packed_cache) > _PACKED_CACHE_SIZE:
         self._packed_cache.popitem(last=False)
@@ -177,7 +177,7 @@
     return Fetched(document, self._clock.monotonic() - age_s)
 
   def _decode(self, name: str, entry: dict[str, Any]) -> deltas.Document | None:
-    """Returns the document in an answer, None if a change does not apply.
+    """Returns the document in an answer, None if a delta does not apply.
 
     Raises:
       KeyError, TypeError, ValueError: the answer is malformed.
--- a/mustardfall/membership/trackers.py
+++ b/mustardfall/membership/trackers.py
@@ -50,7 +50,7 @@
   """Identifies a request to the trackers of its endpoint."""
 
   endpoint: str
-  """The endpoint's life."""
+  """The endpoint's life (one run of its process), see `endpoints.Row.life`."""
   request: str
   """The request's id, unique in the fleet."""
 
--- a/mustardfall/membership/verdicts.py
+++ b/mustardfall/membership/verdicts.py
@@ -52,12 +52,14 @@
 
 
 class Verdicts:
-  """Sends and receives suspects (crashes) and verdicts (quarantined requests).
+  """Sends and receives crash reports and verdicts.
+
+  A verdict is a `quarantine.QuarantineUpdate`.
 
   Args:
     table: this router's crash counts and verdicts; updated here.
     members: the routers that are up.
-    datagrams: carries suspects and verdicts.
+    datagrams: carries crash reports and verdicts.
     notices: determines whether this router is a reader of the KV.
     kv: stores verdicts for routers that start later.
     clock: the time source.
@@ -78,26 +80,26 @@
     self._notices = notices
     self._kv = kv
     self._clock = clock
-    self._unsent: list[quarantine.Verdict] = []
+    self._unsent: list[quarantine.QuarantineUpdate] = []
     """New verdicts of this router, not yet sent and stored."""
     self._unsent_added = anyio.Event()
-    datagrams.connect(datagrams_lib.Kind.SUSPECT, self._handle_suspect)
+    datagrams.connect(datagrams_lib.Kind.SUSPECT, self._handle_crash_report)
     datagrams.connect(datagrams_lib.Kind.VERDICT, self._handle_verdicts)
 
-  def note_end(self, suspect: quarantine.CrashReport) -> None:
+  def note_end(self, report: quarantine.CrashReport) -> None:
     """Records that an endpoint crashed while running a request."""
-    content = json.dumps(suspect).encode()
-    for router in self._counting_routers(suspect.fingerprint):
+    content = json.dumps(report).encode()
+    for router in self._counting_routers(report.fingerprint):
       for _ in range(2):  # one datagram in some hundreds is lost
         self._datagrams.enqueue(datagrams_lib.Kind.SUSPECT, content, router)
-    self._count_crash(suspect)
+    self._count_crash(report)
 
   def note_success(self, fingerprint: str) -> None:
     """Records that an endpoint completed a request; clears the request."""
     was_quarantined = bool(self._table.remaining_s(fingerprint))
     if not self._table.note_success(fingerprint):
       return
-    cleared = quarantine.Verdict(fingerprint, "", 0.0)
+    cleared = quarantine.QuarantineUpdate(fingerprint, "", 0.0)
     if was_quarantined:
       self._publish(cleared)
       return
@@ -115,19 +117,19 @@
     candidates = self._members.candidates(fingerprint)
     return [member for member in candidates if member.life != me]
 
-  def _count_crash(self, suspect: quarantine.CrashReport) -> None:
-    if self._table.note_crash(suspect):
+  def _count_crash(self, report: quarantine.CrashReport) -> None:
+    if self._table.note_crash(report):
       self._publish(
-          quarantine.Verdict(
-              suspect.fingerprint, suspect.team, quarantine.QUARANTINE_S
+          quarantine.QuarantineUpdate(
+              report.fingerprint, report.team, quarantine.QUARANTINE_S
           )
       )
 
-  def _publish(self, verdict: quarantine.Verdict) -> None:
+  def _publish(self, verdict: quarantine.QuarantineUpdate) -> None:
     self._unsent.append(verdict)
     self._unsent_added.set()
 
-  def _handle_suspect(self, raw: bytes) -> None:
+  def _handle_crash_report(self, raw: bytes) -> None:
     fingerprint, team, endpoint, ran_s = json.loads(raw)
     _check_names(fingerprint, team, endpoint)
     self._count_crash(
@@ -137,8 +139,8 @@
   def _handle_verdicts(self, raw: bytes) -> None:
     for fingerprint, team, left_s in deltas.unpack(raw, _MAX_UNPACKED_BYTES):
       _check_names(fingerprint, team)
-      self._table.apply_verdict(
-          quarantine.Verdict(fingerprint, team, float(left_s))
+      self._table.apply_update(
+          quarantine.QuarantineUpdate(fingerprint, team, float(left_s))
       )
 
   async def run(self) -> None:
@@ -176,7 +178,7 @@
 
   async def _send(
       self,
-      verdicts: list[quarantine.Verdict],
+      verdicts: list[quarantine.QuarantineUpdate],
       receivers: Iterable[members_lib.Member],
   ) -> None:
     receivers = list(receivers)
@@ -186,7 +188,7 @@
       )
       await self._datagrams.send(datagrams_lib.Kind.VERDICT, content, receivers)
 
-  async def _store(self, verdict: quarantine.Verdict) -> None:
+  async def _store(self, verdict: quarantine.QuarantineUpdate) -> None:
     """Stores a verdict in the KV, under a lease for its remaining term."""
     key = PREFIX + verdict.fingerprint
     until_s = self._clock.wall().timestamp() + verdict.left_s
@@ -224,8 +226,10 @@
         extra = {"entry": record.key, "error": repr(exc)}
         logger.error("verdict unreadable", extra=extra)
         continue
-      verdict = quarantine.Verdict(stored.fingerprint, stored.team, left_s)
-      if left_s > 0 and self._table.apply_verdict(verdict):
+      verdict = quarantine.QuarantineUpdate(
+          stored.fingerprint, stored.team, left_s
+      )
+      if left_s > 0 and self._table.apply_update(verdict):
         added.append(verdict)
     await self._send(added, self._members.others)
     return True
--- a/mustardfall/routing/loads.py
+++ b/mustardfall/routing/loads.py
@@ -30,11 +30,12 @@
   """The load of one router on all endpoints."""
 
   sender: str
-  """The router's life, see `members.Member`."""
+  """The router's life (one run of its process), see `members.Member`."""
   number: int
   """Increases with each report; a report that arrives late is ignored."""
   loads: dict[str, Load]
-  """By the endpoint's life; endpoints without load are left out."""
+  """By the endpoint's life (one run of its process), see `endpoints.Row.life`;
+  endpoints without load are left out."""
   prefixes: dict[str, list[str]]
   """Prompt prefixes recently sent to endpoints, by the endpoint's life."""
 
--- a/mustardfall/routing/quarantine.py
+++ b/mustardfall/routing/quarantine.py
@@ -2,8 +2,9 @@
 
 Retried by its caller or by a router, such a request would crash one endpoint
 after the other and abort the requests that run beside it. A crash counts
-against every request that was running on the endpoint. Most of these are
-innocent: they are involved in few crashes, or succeed at the next endpoint.
+against every request that was running on the endpoint. Most of these did not
+cause the crash: they are involved in few crashes, or succeed at the next
+endpoint.
 """
 
 import collections
@@ -42,13 +43,13 @@
   fingerprint: str
   team: str
   endpoint: str
-  """The endpoint's life, see `endpoints.Row.life`."""
+  """The endpoint's life (one run of its process), see `endpoints.Row.life`."""
   ran_s: float
   """How long the request had been running there."""
 
 
-class Verdict(NamedTuple):
-  """A router's verdict on a request: whether it is quarantined."""
+class QuarantineUpdate(NamedTuple):
+  """Tells other routers that a request is quarantined or has succeeded."""
 
   fingerprint: str
   team: str
@@ -101,32 +102,32 @@
       return 0.0
     return max(0.0, row.quarantined_until - self._clock.monotonic())
 
-  def note_crash(self, suspect: CrashReport) -> bool:
+  def note_crash(self, report: CrashReport) -> bool:
     """Records that an endpoint crashed while it ran a request.
 
     Returns:
       Whether this put the request into quarantine.
     """
-    if self._succeeded_recently(suspect.fingerprint):
+    if self._succeeded_recently(report.fingerprint):
       return False
     now = self._clock.monotonic()
-    row = self._row(suspect.fingerprint, suspect.team)
+    row = self._row(report.fingerprint, report.team)
     was_quarantined = row.quarantined_until > -float("inf")
     since_last_s = now - row.last_crash_at
     if since_last_s > _RETENTION_S and not was_quarantined:
       row.endpoints.clear()
       row.crashes = 0
-    if suspect.endpoint in row.endpoints or row.quarantined_until > now:
+    if report.endpoint in row.endpoints or row.quarantined_until > now:
       return False
-    row.endpoints.add(suspect.endpoint)
+    row.endpoints.add(report.endpoint)
     # A request that ran for less time than has passed since the last crash was
     # sent after that crash, so this one has a cause of its own.
-    if since_last_s > min(_SAME_CAUSE_S, suspect.ran_s):
+    if since_last_s > min(_SAME_CAUSE_S, report.ran_s):
       row.crashes += 1
       row.last_crash_at = now
     if row.crashes < CRASH_LIMIT and not was_quarantined:
       return False
-    self._quarantine(suspect.fingerprint, row, QUARANTINE_S)
+    self._quarantine(report.fingerprint, row, QUARANTINE_S)
     return True
 
   def note_success(self, fingerprint_: str) -> bool:
@@ -143,33 +144,31 @@
 
   def _succeeded_recently(self, fingerprint_: str) -> bool:
     """Whether an endpoint recently completed the request."""
-    ran_at = self._succeeded_at.get(fingerprint_, -float("inf"))
-    return self._clock.monotonic() - ran_at < _RETENTION_S
+    succeeded_at = self._succeeded_at.get(fingerprint_, -float("inf"))
+    return self._clock.monotonic() - succeeded_at < _RETENTION_S
 
-  def apply_verdict(self, verdict: Verdict) -> bool:
-    """Applies another router's verdict on a request.
+  def apply_update(self, update: QuarantineUpdate) -> bool:
+    """Applies an update from another router.
 
     Returns:
       Whether this put the request into quarantine.
     """
-    if verdict.left_s <= 0:
-      self.note_success(verdict.fingerprint)
+    if update.left_s <= 0:
+      self.note_success(update.fingerprint)
       return False
-    if self._succeeded_recently(verdict.fingerprint) or self.remaining_s(
-        verdict.fingerprint
+    if self._succeeded_recently(update.fingerprint) or self.remaining_s(
+        update.fingerprint
     ):
       return False
-    row = self._row(verdict.fingerprint, verdict.team)
-    self._quarantine(
-        verdict.fingerprint, row, min(verdict.left_s, QUARANTINE_S)
-    )
+    row = self._row(update.fingerprint, update.team)
+    self._quarantine(update.fingerprint, row, min(update.left_s, QUARANTINE_S))
     return True
 
-  def verdicts(self) -> list[Verdict]:
+  def verdicts(self) -> list[QuarantineUpdate]:
     """Returns the quarantined requests, the most recent first."""
     now = self._clock.monotonic()
     return [
-        Verdict(key, row.team, round(row.quarantined_until - now, 1))
+        QuarantineUpdate(key, row.team, round(row.quarantined_until - now, 1))
         for key, row in reversed(self._rows.items())
         if row.quarantined_until > now
     ]
--- a/mustardfall/routing/scheduler.py
+++ b/mustardfall/routing/scheduler.py
@@ -31,7 +31,7 @@
 
 
 class NoSlot(NamedTuple):
-  """A refusal due to overload, and the seconds to retry after."""
+  """No slot could be assigned: the reason, and the seconds to retry after."""
 
   reason: str
   retry_after_s: float
--- a/mustardfall/routing/tracking.py
+++ b/mustardfall/routing/tracking.py
@@ -105,7 +105,7 @@
     """Records that a request is being sent to an endpoint.
 
     Args:
-      endpoint: the endpoint's life.
+      endpoint: the endpoint's life (one run of its process).
       request: identifies the request among those of all routers.
       prefix: the prompt's prefix; empty: none.
       prefill_s: expected time to prefill its prompt there.
--- a/tests/test_notices.py
+++ b/tests/test_notices.py
@@ -411,7 +411,7 @@
   @in_fleet
   async def test_a_large_change_bypasses_dead_routers(self, fleet):
     """Guards against routers below a dead one that keep the old version."""
-    ranked = sorted(fleet.routers, key=members_lib.rank)
+    ranked = sorted(fleet.routers, key=members_lib.rank_key)
     for name in (ranked[0], *ranked[2:4], ranked[7]):
       fleet.kill(name)
     fleet.store.put("op/config", test_slow_links.grown_configuration(2))
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -21,8 +21,8 @@
     self.clock.advance(datetime.timedelta(seconds=seconds))
 
   def _crash(self, request, endpoint, team="acme", ran_s=_RAN_S):
-    suspect = quarantine.CrashReport(request, team, endpoint, ran_s)
-    return self.table.note_crash(suspect)
+    report = quarantine.CrashReport(request, team, endpoint, ran_s)
+    return self.table.note_crash(report)
 
   def _crash_apart(self, request, number, team="acme"):
     """Has endpoints that run one request crash one after the other."""
@@ -99,11 +99,11 @@
     self.assertEqual(5, len(found))
     self.assertIn(quarantine.fingerprint(*given), found)
 
-  def test_verdict_of_another_router_is_applied(self):
-    verdict = quarantine.Verdict("x", "acme", 30.0)
-    self.assertTrue(self.table.apply_verdict(verdict))
-    self.assertFalse(self.table.apply_verdict(verdict._replace(left_s=90.0)))
+  def test_update_from_another_router_is_applied(self):
+    update = quarantine.QuarantineUpdate("x", "acme", 30.0)
+    self.assertTrue(self.table.apply_update(update))
+    self.assertFalse(self.table.apply_update(update._replace(left_s=90.0)))
     self.assertEqual(30.0, self.table.remaining_s("x"))
-    self.table.apply_verdict(verdict._replace(left_s=0.0))
+    self.table.apply_update(update._replace(left_s=0.0))
     self.assertEqual(0, self.table.remaining_s("x"))
-    self.assertFalse(self.table.apply_verdict(verdict))
+    self.assertFalse(self.table.apply_update(update))
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -65,7 +65,7 @@
 
   def test_claim_given_up_in_an_outage_does_not_block_the_retry(self):
     # The KV stores the claim, the reply is lost and the KV goes down. The call
-    # is not sent and the caller is told "not run". The claim is withdrawn when
+    # is not sent and the caller gets "not run". The claim is withdrawn when
     # the KV answers again, and the caller's retry runs.
     async def go():
       kv, server = kvfake.make()
@@ -85,7 +85,7 @@
 
   def test_racing_operators_one_wins_other_is_told(self):
     # Two operators edit from the same revision; the second apply is
-    # refused with CatalogueRaceLostError and nothing is overwritten.
+    # refused with CatalogueConflictError and nothing is overwritten.
     async def go():
       kv, _ = kvfake.make()
       base = await store.apply(kv, sample.catalogue())
@@ -110,18 +110,18 @@
       await store.apply(kv, sample.catalogue())
       entry = sample.catalogue().entries[3].model_copy(update={"team": "new"})
       spec = model.CatalogueSpec(entries=[entry])
-      revision = await store.apply(kv, spec, only=True)
+      revision = await store.apply(kv, spec, partial=True)
       return revision, await store.read(kv)
 
-    revision, (read_at, found) = anyio.run(go)
-    self.assertEqual(revision, read_at)
+    revision, (kv_revision, found) = anyio.run(go)
+    self.assertEqual(revision, kv_revision)
     self.assertEqual(20, len(found.entries))
     self.assertIn("new", [e.team for e in found.entries])
     self.assertEqual(2, len(found.customers))
 
-  def test_apply_with_lost_reply_is_not_reported_as_lost_race(self):
+  def test_apply_with_lost_reply_is_not_reported_as_conflict(self):
     # The transaction is committed and its reply is lost. The operator must be
-    # told that it was applied, and get the revision for the next edit.
+    # informed that it was applied, and get the revision for the next edit.
     async def go():
       kv, server = kvfake.make()
       base = await store.apply(kv, sample.catalogue())
@@ -140,8 +140,8 @@
       server._reply = answer
       return revision, await store.read(kv)
 
-    revision, (read_at, found) = anyio.run(go)
-    self.assertEqual((revision, 5), (read_at, len(found.entries)))
+    revision, (kv_revision, found) = anyio.run(go)
+    self.assertEqual((revision, 5), (kv_revision, len(found.entries)))
 
   def test_change_while_pages_are_read_is_not_half_seen(self):
     # An operator changes the catalogue while a router that starts reads it page
@@ -160,7 +160,7 @@
           if edits:
             spec = model.CatalogueSpec(entries=[edits.pop()])
             kv.get_pages = pages
-            await store.apply(kv, spec, only=True)
+            await store.apply(kv, spec, partial=True)
             kv.get_pages = _get_pages
 
       kv.get_pages = _get_pages
@@ -169,7 +169,7 @@
     found = anyio.run(go)
     teams = {e.name: e.team for e in found.entries}
     self.assertEqual("new", teams[sample.catalogue().entries[0].name])
-    self.assertLessEqual(found.revision, found.read_at)
+    self.assertLessEqual(found.revision, found.kv_revision)
 
 
 class TableTest(testtools.TestCase):
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -131,8 +131,8 @@
   async def crash_endpoints(self, request: str, number: int, offset=0) -> None:
     """Crashes endpoints with a request, each seen by another router."""
     for n in range(offset, offset + number):
-      suspect = quarantine.CrashReport(request, "acme", f"{request}-{n}", 0.1)
-      self.verdicts[(7 * n) % _ROUTERS].note_end(suspect)
+      report = quarantine.CrashReport(request, "acme", f"{request}-{n}", 0.1)
+      self.verdicts[(7 * n) % _ROUTERS].note_end(report)
       await anyio.sleep(0.35)
 
   def unaware(self, request: str) -> list[int]:
@@ -221,8 +221,8 @@
   async def test_other_requests_on_a_crashed_endpoint_cost_little(self, fleet):
     """Guards against a store call for every request on a crashed endpoint."""
     for number in range(24):
-      suspect = quarantine.CrashReport(f"beside{number}", "acme", "e", 0.5)
-      fleet.verdicts[number].note_end(suspect)
+      report = quarantine.CrashReport(f"beside{number}", "acme", "e", 0.5)
+      fleet.verdicts[number].note_end(report)
     calls, sent = fleet.store.calls, fleet.net.sent
     for number in range(24):
       fleet.verdicts[number].note_success(f"beside{number}")
@@ -254,8 +254,8 @@
     self.assertTrue(each <= 2, each)
 
   def test_verdicts_are_small(self):
-    verdict = quarantine.Verdict("f" * 24, "team4711", 599.9)
-    each = len(json.dumps(verdict))
+    update = quarantine.QuarantineUpdate("f" * 24, "team4711", 599.9)
+    each = len(json.dumps(update))
     self.assertTrue(
         each * verdicts_lib._MAX_VERDICTS_PER_DATAGRAM <= 1_300, each
     )
