--- a/mustardfall/idempotency.py
+++ b/mustardfall/idempotency.py
@@ -135,7 +135,7 @@
   try:
     record = await writer.submit(record_key, Claim(claim_id, fingerprint_))
   except errors.KvUnknownError as exc:
-    # The claim may be recorded, and retries would be told "may have run" for
+    # The claim may be recorded, and retries would get "may have run" for
     # a call that is never sent. So it is withdrawn once the KV answers again.
     writer.post(record_key, Finish(claim_id, State.NOT_RUN))
     raise errors.KvUnavailableError(str(exc)) from exc
@@ -149,7 +149,7 @@
 
   The wait lets a retry by the caller, on any router, find the outcome. If the
   KV is slow, the caller is answered nevertheless and the record stays `started`
-  for longer: retries are told "may have run", which is true, and the call is
+  for longer: retries get "may have run", which is true, and the call is
   still not repeated.
   """
   record_key = key(entry, idem_key)
--- a/mustardfall/routing/endpoints.py
+++ b/mustardfall/routing/endpoints.py
@@ -83,8 +83,8 @@
   prefixes: dict[str, float] = dataclasses.field(default_factory=dict)
   """Prompt prefixes recently sent to it, and when, monotonic seconds."""
   cold_cache: bool = False
-  """Whether it was listed or restarted after this router's first list. Its cache
-  then holds only prefixes that were sent since."""
+  """Whether it was listed or restarted after this router's first list. Its
+  cache then holds only prefixes that were sent since."""
   slowness: float = 1.0
   """Moving average of the time to first token, relative to the expected one."""
   failures: int = 0
@@ -100,7 +100,7 @@
 
   @property
   def life(self) -> str:
-    """Identifies this run of the endpoint's process, unlike its name."""
+    """The id of the endpoint's life: of this run of its process."""
     if self.started_ms is None:
       return self.name
     return f"{self.name}:{self.started_ms}"
--- a/mustardfall/routing/orders.py
+++ b/mustardfall/routing/orders.py
@@ -39,7 +39,7 @@
     config: the router's complete settings.
     http: an HTTP client.
     kv: the KV client.
-    members: tells which router owns an engine.
+    members: determines which router owns an engine.
     catalogue: the catalogue in force.
     table: the endpoints.
   """
--- a/mustardfall/routing/placement.py
+++ b/mustardfall/routing/placement.py
@@ -181,8 +181,8 @@
 
   Args:
     compared: the candidates to compare.
-    statuses: status by the endpoint's `life`; for a candidate without one, this
-      router's own knowledge is used.
+    statuses: status by the endpoint's life (one run of its process); for a
+      candidate without one, this router's own knowledge is used.
     prompt: the request's prompt.
     datacentre: the router's own.
   """
--- a/tests/test_record_states.py
+++ b/tests/test_record_states.py
@@ -3,7 +3,7 @@
 Hypothesis sends callers' attempts with two keys through three routers, with
 lost replies, outages, partitions, and crashes between claim and call and
 between call and outcome. A call must be executed at most once, also when a
-caller that was told "not run" retries, and a stored answer must be the one that
+caller that got "not run" retries, and a stored answer must be the one that
 the call gave.
 """
 
