--- a/mustardfall/kv/writer.py
+++ b/mustardfall/kv/writer.py
@@ -347,8 +347,8 @@
     values, unconfirmed = self._plan(batch, fresh)
     if unconfirmed:
       # According to a cached value there is nothing to write, e.g. a grant is
-      # refused for lack of headroom, but a top-up may have added some since. Read
-      # again, as a refusal based on a stale value would be wrong.
+      # refused for lack of headroom, but a top-up may have added some since.
+      # Read again, as a refusal based on a stale value would be wrong.
       await self._read(unconfirmed)
       values, _ = self._plan(batch, fresh.union(unconfirmed))
     return values
