--- a/mustardfall/idempotency.py
+++ b/mustardfall/idempotency.py
@@ -8,8 +8,8 @@
 while its record is kept.
 
 Each claim has an id of its own. If a claim named only the router, two attempts
-on the same router, one of them after a lost reply, could both take the record
-for their own and both send the call.
+on the same router, one of them after a lost reply, could both consider the
+record their own and both send the call.
 """
 
 import enum
@@ -25,7 +25,7 @@
 
 PREFIX = "idem/"
 _FINISH_WAIT_S = 0.3
-"""How long the answer to the caller waits until the outcome is recorded."""
+"""Maximum time that the response is delayed until the outcome is recorded."""
 
 
 class State(enum.StrEnum):
@@ -49,8 +49,8 @@
   status: int
   answer: Any
   fingerprint: NotRequired[str]
-  """Of the request that claimed the key; a different one must not get its
-  answer."""
+  """Fingerprint of the request that claimed the key; a request with another
+  fingerprint must not get its answer."""
 
 
 class Claim(NamedTuple):
@@ -135,7 +135,7 @@
   try:
     record = await writer.submit(record_key, Claim(claim_id, fingerprint_))
   except errors.KvUnknownError as exc:
-    # The claim may be recorded, and retries would be told "may have run" for
+    # The claim may be recorded, and retries would get "may have run" for
     # a call that is never sent. So it is withdrawn once the KV answers again.
     writer.post(record_key, Finish(claim_id, State.NOT_RUN))
     raise errors.KvUnavailableError(str(exc)) from exc
@@ -149,7 +149,7 @@
 
   The wait lets a retry by the caller, on any router, find the outcome. If the
   KV is slow, the caller is answered nevertheless and the record stays `started`
-  for longer: retries are told "may have run", which is true, and the call is
+  for longer: retries get "may have run", which is true, and the call is
   still not repeated.
   """
   record_key = key(entry, idem_key)
