--- a/mustardfall/api/calls.py
+++ b/mustardfall/api/calls.py
@@ -129,11 +129,11 @@
 
   async def acquire_slot(
       self, kind: str, model_name: str, excluded: frozenset[str]
-  ) -> scheduler.Shed | None:
+  ) -> scheduler.NoSlot | None:
     """Acquires a slot at an endpoint; returns the rejection, or None."""
     slot_request = scheduler.SlotRequest(kind, model_name, self.entry.klass)
     acquired = await self.router.scheduler.acquire(slot_request, excluded)
-    if isinstance(acquired, scheduler.Shed):
+    if isinstance(acquired, scheduler.NoSlot):
       return acquired
     self._slot_request, self.endpoint = slot_request, acquired
     self._sent = self.router.clock.monotonic()
--- a/mustardfall/budget/budget_view.py
+++ b/mustardfall/budget/budget_view.py
@@ -241,7 +241,7 @@
   def _holder_count(self) -> int:
     """Returns how many routers should hold grants of a budget."""
     if self._config.owned:
-      return self._members.regions
+      return self._members.region_count
     return len(self._members.lives)
 
   def _others_rate(self, state: ledger.Ledger) -> float:
--- a/mustardfall/budget/granting.py
+++ b/mustardfall/budget/granting.py
@@ -136,7 +136,7 @@
     nearly used up.
     """
     if self._config.owned:
-      return 1.0 / self._members.regions
+      return 1.0 / self._members.region_count
     return 1.0
 
   def is_refill_worthwhile(self, budget: str) -> bool:
--- a/mustardfall/gateway.py
+++ b/mustardfall/gateway.py
@@ -209,7 +209,9 @@
         # returned, and granted again if the new limit allows.
         self.accounts.pool.retire(name)
 
-  async def apply_endpoints(self, endpoint_list: list[endpoints.Host]) -> None:
+  async def apply_endpoints(
+      self, endpoint_list: list[endpoints.EndpointEntry]
+  ) -> None:
     """Applies a complete list of endpoints.
 
     Idle connections to endpoints that were removed or restarted are closed. A
--- a/mustardfall/kv/writer.py
+++ b/mustardfall/kv/writer.py
@@ -69,7 +69,7 @@
     config: batch size and intervals.
     clock: the time source.
     on_value: called with `(key, value)` for each value read or written.
-    lease_of: returns the lease to attach to a key (0: none).
+    get_lease: returns the lease to attach to a key (0: none).
   """
 
   def __init__(
@@ -78,13 +78,13 @@
       config: settings.Writer,
       clock: clock_lib.Clock,
       on_value: Callable[[str, change_lib.Value], None] | None = None,
-      lease_of: Callable[[str], int] | None = None,
+      get_lease: Callable[[str], int] | None = None,
   ) -> None:
     self._kv = kv
     self._config = config
     self._clock = clock
     self._on_value = on_value or (lambda key, value: None)
-    self._lease_of = lease_of or (lambda key: 0)
+    self._lease_of = get_lease or (lambda key: 0)
     self._submitted: collections.deque[_PendingChange] = collections.deque()
     self._posted: collections.deque[_PendingChange] = collections.deque()
     self._wake = anyio.Event()
--- a/mustardfall/platform/documents.py
+++ b/mustardfall/platform/documents.py
@@ -285,7 +285,9 @@
     self._logged_revisions: dict[str, int] = {}
     """Revision of each entry that was invalid at the last read, by key."""
 
-  def decode(self, records: Iterable[protocol.Record]) -> list[endpoints.Host]:
+  def decode(
+      self, records: Iterable[protocol.Record]
+  ) -> list[endpoints.EndpointEntry]:
     """Decodes the list for `endpoints.Table`.
 
     An invalid entry may have overwritten the entry of a running server. It is
@@ -319,8 +321,8 @@
 )
 
 
-def _build_host(name: str, data: _ServerEntry) -> endpoints.Host:
-  return endpoints.Host(
+def _build_host(name: str, data: _ServerEntry) -> endpoints.EndpointEntry:
+  return endpoints.EndpointEntry(
       name=_SERVER_ID.validate_python(name),
       url=data.address,
       datacentre=data.zone,
@@ -331,7 +333,7 @@
   )
 
 
-def _build_unusable_host(name: str) -> endpoints.Host:
-  return endpoints.Host(
+def _build_unusable_host(name: str) -> endpoints.EndpointEntry:
+  return endpoints.EndpointEntry(
       name=name, url="", datacentre="", kind="", models=[], state="unusable"
   )
--- a/mustardfall/platform/followers.py
+++ b/mustardfall/platform/followers.py
@@ -287,7 +287,7 @@
 
   async def _apply_members(self, document: deltas.Document) -> None:
     self._members.update([members_lib.from_row(r) for r in document["members"]])
-    self._members.set_connected(True)
+    self._members.set_list_current(True)
 
   def _mark_unreachable(self) -> None:
-    self._members.set_connected(False)
+    self._members.set_list_current(False)
--- a/mustardfall/proxy/crash_guard.py
+++ b/mustardfall/proxy/crash_guard.py
@@ -90,5 +90,5 @@
         },
     )
     self._verdicts.note_end(
-        quarantine.Suspect(context.fingerprint, team, row.life, ran_s)
+        quarantine.CrashReport(context.fingerprint, team, row.life, ran_s)
     )
--- a/mustardfall/proxy/http_client.py
+++ b/mustardfall/proxy/http_client.py
@@ -97,7 +97,7 @@
         size += len(content)
         return Response(head.status, content)
     finally:
-      self._overhead.record(overhead_lib.name_call(target), size)
+      self._overhead.record(overhead_lib.call_kind(target), size)
       await exchange.close()
     assert scope.cancelled_caught
     raise errors.InvalidResponseError(f"{target}: no response in {timeout_s} s")
--- a/tests/kvfake.py
+++ b/tests/kvfake.py
@@ -12,14 +12,14 @@
 from mustardfall.util import clock as clock_lib
 
 
-def make(name: str = "test") -> tuple[kv_client.Client, kv_standin._Server]:
+def make(name: str = "test") -> tuple[kv_client.Client, kv_standin.Server]:
   """Returns a client of a new in-process stand-in, and the stand-in."""
-  return share(kv_standin._Server(), name)
+  return share(kv_standin.Server(), name)
 
 
 def share(
-    server: kv_standin._Server, name: str
-) -> tuple[kv_client.Client, kv_standin._Server]:
+    server: kv_standin.Server, name: str
+) -> tuple[kv_client.Client, kv_standin.Server]:
   """Returns another client of the same in-process stand-in."""
   transport = httpx.ASGITransport(app=kv_standin.create_app(server))
   return kv_client.Client("http://kv", name, transport=transport), server
--- a/tests/test_notices.py
+++ b/tests/test_notices.py
@@ -171,10 +171,10 @@
   def is_reader(self) -> bool:
     return self.notices.is_reader
 
-  async def take_endpoints(self, hosts):
+  async def apply_endpoints(self, hosts):
     self.states = {host["name"]: host["state"] for host in hosts}
 
-  def take_configuration(self, new):
+  def apply_configuration(self, new):
     self.version = new.version
 
 
--- a/tests/test_pool_states.py
+++ b/tests/test_pool_states.py
@@ -61,7 +61,7 @@
     self._world = world
     self.me = world.member(name)
 
-  regions = 1
+  region_count = 1
 
   @property
   def lives(self):
--- a/tests/test_tracking.py
+++ b/tests/test_tracking.py
@@ -33,7 +33,7 @@
 
 def _play(policy: str, **day) -> list[engines.Result]:
   played = engines.Day(seconds=20.0, **day)
-  return [engines.Player(played, policy, seed).play() for seed in _SEEDS]
+  return [engines.Simulation(played, policy, seed).run() for seed in _SEEDS]
 
 
 def _mean(results, figure) -> float:
@@ -91,7 +91,7 @@
           ),
           engines=routers // 5,
       )
-      result = engines.Player(day, "tracked", 1).play()
+      result = engines.Simulation(day, "tracked", 1).run()
       self.assertTrue(result.messages_per_s <= 16, result.messages_per_s)
 
 
@@ -113,7 +113,7 @@
 
   def test_same_seed_gives_the_same_result(self):
     day = engines.Day(seconds=5.0)
-    twice = [engines.Player(day, "tracked", 3).play() for _ in range(2)]
+    twice = [engines.Simulation(day, "tracked", 3).run() for _ in range(2)]
     self.assertEqual(twice[0], twice[1])
 
 
