--- a/mustardfall/errors.py
+++ b/mustardfall/errors.py
@@ -33,7 +33,7 @@
   """An engine sent an event of another response; the stream must end."""
 
 
-class BadRequestError(Error):
+class RejectedRequestError(Error):
   """A caller's request is rejected with the HTTP status `status`."""
 
   def __init__(
@@ -47,7 +47,7 @@
     self.retry_after_s = retry_after_s
 
 
-class OverloadedError(BadRequestError):
+class OverloadedError(RejectedRequestError):
   """Too little memory for a request that is not yet read completely."""
 
   def __init__(self, reason: str, retry_after_s: float) -> None:
--- a/mustardfall/platform/headers.py
+++ b/mustardfall/platform/headers.py
@@ -106,9 +106,9 @@
   try:
     number = float(value)
   except ValueError as exc:
-    raise errors.BadRequestError(f"{name} is no number") from exc
+    raise errors.RejectedRequestError(f"{name} is no number") from exc
   if not math.isfinite(number) or number < 0:
-    raise errors.BadRequestError(f"{name} is out of range")
+    raise errors.RejectedRequestError(f"{name} is out of range")
   return number
 
 
@@ -119,9 +119,9 @@
   try:
     usage = messages.Usage(int(prompt), int(output))
   except ValueError as exc:
-    raise errors.BadRequestError("token usage makes no sense") from exc
+    raise errors.RejectedRequestError("token usage makes no sense") from exc
   if min(usage) < 0:
-    raise errors.BadRequestError("token usage is negative")
+    raise errors.RejectedRequestError("token usage is negative")
   return usage
 
 
@@ -132,7 +132,7 @@
     pairs = (item.strip().split(":") for item in value.decode().split(","))
     return tuple(messages.PromptPart(id_, int(n)) for id_, n in pairs)
   except ValueError as exc:
-    raise errors.BadRequestError("prompt parts make no sense") from exc
+    raise errors.RejectedRequestError("prompt parts make no sense") from exc
 
 
 class Dialect:
@@ -144,14 +144,14 @@
     """Decodes the head of a caller's request.
 
     Raises:
-      errors.BadRequestError: a header is missing, repeated or invalid.
+      errors.RejectedRequestError: a header is missing, repeated or invalid.
     """
     by_name = dict(headers)
     for name in _SINGLE_VALUED & by_name.keys():
       if sum(1 for header, _ in headers if header == name) > 1:
-        raise errors.BadRequestError(f"{name.decode()} is given twice")
+        raise errors.RejectedRequestError(f"{name.decode()} is given twice")
     if not by_name.get(_REQUEST_ID):
-      raise errors.BadRequestError("no request id")
+      raise errors.RejectedRequestError("no request id")
     deadline_ms = _parse_number(by_name.get(_DEADLINE_MS), "deadline")
     last_event = _parse_number(by_name.get(_LAST_EVENT_ID), "last event id")
     path = target.decode("latin-1").partition("?")[0]
--- a/mustardfall/proxy/http_server.py
+++ b/mustardfall/proxy/http_server.py
@@ -304,7 +304,7 @@
     responder = Responder(self)
     try:
       return await self._serve_next(responder)
-    except errors.BadRequestError as exc:
+    except errors.RejectedRequestError as exc:
       await self._refuse(responder, exc)
       return False
     finally:
@@ -330,7 +330,7 @@
     )
 
   async def _refuse(
-      self, responder: Responder, exc: errors.BadRequestError
+      self, responder: Responder, exc: errors.RejectedRequestError
   ) -> None:
     self.closes_after_response = True
     logger.info(
@@ -355,7 +355,7 @@
         return None
       self._check_head()
       return event
-    raise errors.BadRequestError("head took too long", 408)
+    raise errors.RejectedRequestError("head took too long", 408)
 
   async def _wait_for_bytes(self, timeout_s: float) -> bool:
     """Waits for the first bytes of a request; returns whether any arrived."""
@@ -386,7 +386,9 @@
           )
         await self._receive()
     except h11.RemoteProtocolError as exc:
-      raise errors.BadRequestError(str(exc), exc.error_status_hint) from exc
+      raise errors.RejectedRequestError(
+          str(exc), exc.error_status_hint
+      ) from exc
     return event
 
   def _check_head(self) -> None:
@@ -399,12 +401,12 @@
     end = self._head_bytes.find(b"\r\n\r\n")
     head = bytes(self._head_bytes if end < 0 else self._head_bytes[: end + 2])
     if len(head) > self._server.limits().header_bytes:
-      raise errors.BadRequestError("head too large", 431)
+      raise errors.RejectedRequestError("head too large", 431)
     if _FOLDED_LINE.search(head):
-      raise errors.BadRequestError("folded header")
+      raise errors.RejectedRequestError("folded header")
     lengths = len(_CONTENT_LENGTH.findall(head))
     if lengths > 1 or (lengths and _TRANSFER_ENCODING.search(head)):
-      raise errors.BadRequestError("ambiguous body length")
+      raise errors.RejectedRequestError("ambiguous body length")
 
   def _decode(self, head: h11.Request) -> messages.Request:
     return self._server.dialect.decode_request(
@@ -472,14 +474,14 @@
       with anyio.move_on_after(limits.idle_timeout.total_seconds()) as scope:
         event = await self._next_event()
       if scope.cancelled_caught:
-        raise errors.BadRequestError("body took too long", 408)
+        raise errors.RejectedRequestError("body took too long", 408)
       if isinstance(event, h11.EndOfMessage):
         return bytes(body)
       if not isinstance(event, h11.Data):
-        raise errors.BadRequestError("body ended early")
+        raise errors.RejectedRequestError("body ended early")
       body += event.data
       if len(body) > limits.body_bytes:
-        raise errors.BadRequestError("body too large", 413)
+        raise errors.RejectedRequestError("body too large", 413)
       if len(body) > announced:
         self._allocate_body(len(event.data))
 
--- a/mustardfall/proxy/messages.py
+++ b/mustardfall/proxy/messages.py
@@ -111,7 +111,7 @@
     """Decodes the head of a caller's request.
 
     Raises:
-      errors.BadRequestError: a header is missing or invalid.
+      errors.RejectedRequestError: a header is missing or invalid.
     """
 
   def encode_request(
--- a/tests/test_platform_headers.py
+++ b/tests/test_platform_headers.py
@@ -55,7 +55,7 @@
         (b"prompt-prefix", b"abc"),
         (b"request-id", b"again"),
     ):
-      self.assertRaises(errors.BadRequestError, _decode, (name, value))
+      self.assertRaises(errors.RejectedRequestError, _decode, (name, value))
 
   @given(st.floats(0.001, 100), st.integers(0, 20), st.none() | st.integers(0))
   def test_forwarded_headers(self, left_s, priority, last):
