--- a/mustardfall/emulator/server.py
+++ b/mustardfall/emulator/server.py
@@ -83,7 +83,7 @@
     self.behaviour = Behaviour()
     self.seen: list[ReceivedRequest] = []
     self.connections = 0
-    self.ended = anyio.Event()
+    self.crashed = anyio.Event()
     """Set once the server has crashed and closed its port."""
     self._scope = anyio.CancelScope()
 
@@ -102,7 +102,7 @@
     self._scope.cancel()
     with anyio.CancelScope(shield=True):
       await self._listener.aclose()
-    self.ended.set()
+    self.crashed.set()
 
   async def _serve_connection(self, stream: abc.SocketStream) -> None:
     self.connections += 1
--- a/mustardfall/emulator/store.py
+++ b/mustardfall/emulator/store.py
@@ -54,7 +54,7 @@
 class Faults:
   """Injected faults; set by tests."""
 
-  down: str = ""
+  failure_mode: str = ""
   """`silent`, `busy` (503), `reset` or `nonsense`; empty: up."""
   lose_responses: int = 0
   """How many of the next writes are applied but get no response."""
@@ -137,15 +137,15 @@
       responder: http_server.Responder,
   ) -> None:
     """Handles one call, with the faults that `faults` injects."""
-    if self.faults.down == "silent":
+    if self.faults.failure_mode == "silent":
       await anyio.sleep_forever()
-    if self.faults.down == "reset":
+    if self.faults.failure_mode == "reset":
       raise anyio.BrokenResourceError
-    if self.faults.down == "nonsense":
+    if self.faults.failure_mode == "nonsense":
       await responder.respond(200, [], next(self._invalid_responses))
       return
     host = dict(request.headers).get(HOST_HEADER, b"").decode()
-    if self.faults.down == "busy" or host in self.faults.rejected_hosts:
+    if self.faults.failure_mode == "busy" or host in self.faults.rejected_hosts:
       await responder.respond(503, [])
       return
     self._expire()
--- a/tests/fleetcase.py
+++ b/tests/fleetcase.py
@@ -20,7 +20,7 @@
 """Routers notice within about three seconds that another has exited."""
 
 
-async def kv_do(url: str, fn):
+async def call_kv(url: str, fn):
   kv = kv_client.Client(url, "operator")
   try:
     return await fn(kv)
@@ -46,7 +46,7 @@
     self.addCleanup(self.fleet.__exit__)
     engine = {"tokens_per_s": tokens_per_s} | (engine or {})
     self.urls = fleet_lib.start_platform(self.fleet, dcs, engine)
-    self.kv_do(lambda kv: store.apply(kv, sample.catalogue()))
+    self.call_kv(lambda kv: store.apply(kv, sample.catalogue()))
     names = tuple(dcs[i % len(dcs)] for i in range(routers))
     settings_overrides = {
         "tick_s": 0.2,
@@ -59,8 +59,8 @@
     self.fleet.wait_ready()
     time.sleep(0.6)
 
-  def kv_do(self, fn):
-    return anyio.run(kv_do, self.urls["kv"], fn)
+  def call_kv(self, fn):
+    return anyio.run(call_kv, self.urls["kv"], fn)
 
   def client(self, router: str, entry=ENTRY) -> openai.OpenAI:
     return openai.OpenAI(
@@ -71,7 +71,7 @@
     )
 
   def ledger(self, name=ENTRY.name) -> ledger.Ledger:
-    return self.kv_do(lambda kv: ledger.read(kv, name))
+    return self.call_kv(lambda kv: ledger.read(kv, name))
 
   def ask(self, router: str, words: int, entry=ENTRY, **more):
     return self.client(router, entry).chat.completions.create(
--- a/tests/platformcase.py
+++ b/tests/platformcase.py
@@ -164,10 +164,10 @@
   ) -> None:
     """Replaces each crashed server, after a delay, by one with a new id."""
     for number in itertools.count():
-      ended = [
-          server for server in self.servers.values() if server.ended.is_set()
+      crashed = [
+          server for server in self.servers.values() if server.crashed.is_set()
       ]
-      for server in ended:
+      for server in crashed:
         del self.servers[server.id]
         self.crash_count += 1
         self.store.remove(f"servers/{server.id}")
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -342,14 +342,14 @@
     env.router.start()
     await env.router.wait_until_ready()
     self.assertEqual(200, (await env.call("/look/a", "r1")).status)
-    env.store.faults.down = "nonsense"
+    env.store.faults.failure_mode = "nonsense"
     for number in range(40):
       await env.call("/text/a", f"s{number}", token_usage="100,50")
       await anyio.sleep(0.05)
     self.assertTrue(env.router.is_running, env.router.log[-3000:])
     response = await env.call("/look/a", "r2")
     self.assertEqual(200, response.status)
-    env.store.faults.down = ""
+    env.store.faults.failure_mode = ""
     await anyio.sleep(1.5)
     response = await env.call("/text/a", "last", token_usage="100,50")
     self.assertEqual(200, response.status, env.router.log[-3000:])
@@ -359,7 +359,7 @@
     env.router.start()
     await env.router.wait_until_ready()
     await env.call("/text/a", "s1", token_usage="100,50")
-    env.store.faults.down = "nonsense"
+    env.store.faults.failure_mode = "nonsense"
     self.assertEqual(0, await env.router.stop(), env.router.log[-3000:])
 
   @processcase.in_environment()
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -217,7 +217,7 @@
     self.assertLessEqual(used, _SMALL.tokens)
     self.fleet.signal("router-2", signal.SIGCONT)
     change = ledger.TopUp(2000, "t1")
-    self.kv_do(lambda kv: ledger.write(kv, _SMALL.name, change))
+    self.call_kv(lambda kv: ledger.write(kv, _SMALL.name, change))
     connected_results = [_ask(connected) for _ in range(12)]
     self.inject("kv", blocked=[])
     self.assertIn("refused", partitioned_results)
@@ -303,7 +303,7 @@
     self.start(routers=1, membership=fleetcase.QUICK)
     self.inject("kv", blocked=["router-1"], silent=True)
     spec = model.CatalogueSpec(entries=sample.catalogue().entries[:5])
-    revision = self.kv_do(lambda kv: store.apply(kv, spec))
+    revision = self.call_kv(lambda kv: store.apply(kv, spec))
     time.sleep(4.0)
     self.inject("kv", blocked=[], silent=False)
     self.wait_until(
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -261,7 +261,7 @@
     # tokens cannot cover must be refused quickly, not after store timeouts.
     env.servers["i-1"].behaviour.events = 5
     await env.call("/once/a", "r0", **StreamTest.USAGE)
-    env.store.faults.down = "silent"
+    env.store.faults.failure_mode = "silent"
     await anyio.sleep(0.8)
     response = await env.call("/once/a", "r1", **StreamTest.USAGE)
     self.assertEqual(200, response.status)
@@ -279,13 +279,13 @@
       self, env
   ):
     """Guards against a 404 for a route added while the store is unreachable."""
-    env.store.faults.down = "busy"
+    env.store.faults.failure_mode = "busy"
     await anyio.sleep(2.5)
     for path, key in (("/nowhere/", platformcase.KEY), ("/look/a", "new")):
       response = await env.call(path, f"r{key}", credential=key)
       self.assertEqual(503, response.status)
       self.assertTrue(0.0 < float(response.headers["retry-after"]) <= 2.0)
-    env.store.faults.down = ""
+    env.store.faults.failure_mode = ""
     current = env.gateway.directory
     await env.wait_until(lambda: current.unconfirmed_s < 1.0)
     self.assertEqual(404, (await env.call("/nowhere/", "r9")).status)
@@ -427,7 +427,7 @@
     # killed, which would cut off its callers' connections.
     env.servers["i-1"].behaviour.events = 5
     await env.call("/once/a", "r1", **StreamTest.USAGE)
-    env.store.faults.down = "silent"
+    env.store.faults.failure_mode = "silent"
     started = anyio.current_time()
     env.stop.set()
     await env.wait_until(lambda: env.gateway_stopped, 6.0)
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -16,7 +16,7 @@
   def _place(self, *models: str) -> int:
     placement = model.PlacementSpec(engine=_ENGINE, models=list(models))
     spec = model.CatalogueSpec(placements=[placement], entries=[])
-    return self.kv_do(lambda kv: store.apply(kv, spec, only=True))
+    return self.call_kv(lambda kv: store.apply(kv, spec, only=True))
 
   def _loaded(self) -> set[str]:
     reply = httpx.get(self.urls[_ENGINE] + "/v1/models")
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -125,14 +125,14 @@
   ):
     # The store does not respond. After two timeouts, calls on behalf of
     # requests fail immediately, until a call of a follower succeeds.
-    server.faults.down = "silent"
+    server.faults.failure_mode = "silent"
     for _ in range(2):
       await _error_type(client.get, "k")
     with anyio.fail_after(0.1):
       error = await _error_type(client.txn, [], [protocol.Put("k", b"1")])
     self.assertIs(errors.KvUnavailableError, error)
     self.assertFalse(client.reachable)
-    server.faults.down = ""
+    server.faults.failure_mode = ""
     await client.get_prefix("x/")
     self.assertTrue(client.reachable)
     self.assertIsNone(await _error_type(client.put, "k", b"1"))
