--- a/mustardfall/emulator/server.py
+++ b/mustardfall/emulator/server.py
@@ -81,7 +81,7 @@
   def __init__(self, id: str) -> None:  # noqa: A002  the platform's term
     self.id = id
     self.behaviour = Behaviour()
-    self.seen: list[ReceivedRequest] = []
+    self.received: list[ReceivedRequest] = []
     self.connections = 0
     self.crashed = anyio.Event()
     """Set once the server has crashed and closed its port."""
@@ -156,7 +156,7 @@
       head = _head(503, {"not-executed": "1", **_request_id_header(seen)})
       await stream.send(head + b"\r\n")
       return False
-    self.seen.append(seen)
+    self.received.append(seen)
     async with anyio.create_task_group() as tg:
       tg.start_soon(_watch_disconnect, stream, seen, tg.cancel_scope)
       writer = _ResponseWriter(stream, seen, behaviour, self.id)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -68,7 +68,7 @@
     forged |= {"kv_backup": "a", "kv_fetch": "a", "request_priority": "0"}
     forged |= {"expect_version": "3", "expect_instance": "i-9"}
     await env.call("/look/a", "r1", connection="request-id, model", **forged)
-    seen = env.servers["i-1"].seen[0].headers
+    seen = env.servers["i-1"].received[0].headers
     self.assertEqual("acme", seen["tenant"])
     self.assertEqual("i-1", seen["expect-instance"])
     self.assertEqual("r1", seen["request-id"])
@@ -84,7 +84,7 @@
     self.assertEqual(404, (await env.call("/nowhere/", "r1")).status)
     response = await env.call("/look/a", "r2", credential="nobody's")
     self.assertEqual(401, response.status)
-    self.assertEqual([], env.servers["i-1"].seen)
+    self.assertEqual([], env.servers["i-1"].received)
 
   @in_environment(servers=("i-1", "i-2"))
   async def test_refused_request_goes_to_another_server(self, env):
@@ -109,7 +109,7 @@
     env.servers["i-1"].behaviour.reset_after_events = 0
     response = await env.call("/book/a", "r1")
     self.assertEqual(502, response.status)
-    self.assertEqual(1, len(env.servers["i-1"].seen))
+    self.assertEqual(1, len(env.servers["i-1"].received))
 
   @in_environment(servers=("i-1", "i-2"))
   async def test_safe_request_with_a_lost_response_is_retried(self, env):
@@ -172,8 +172,8 @@
     env.servers["i-1"].behaviour.response_delay_s = 5.0
     async with env.caller() as caller:
       await caller.send("/look/a", "r1")
-      await env.wait_until(lambda: env.servers["i-1"].seen)
-    await env.wait_until(lambda: env.servers["i-1"].seen[0].cancelled, 0.5)
+      await env.wait_until(lambda: env.servers["i-1"].received)
+    await env.wait_until(lambda: env.servers["i-1"].received[0].cancelled, 0.5)
 
   @in_environment()
   async def test_silent_server_gets_504_at_the_deadline(self, env):
@@ -222,7 +222,7 @@
     env.servers["i-1"].behaviour.reset_after_events = 2
     response = await env.call("/once/a", "r1", **self.USAGE)
     self.assertEqual((200, False), (response.status, response.is_complete))
-    self.assertEqual(1, len(env.servers["i-1"].seen))
+    self.assertEqual(1, len(env.servers["i-1"].received))
 
   @in_environment(prepaid=5_000)
   async def test_budget_is_not_exceeded_and_gets_402_when_used_up(self, env):
@@ -236,7 +236,7 @@
     self.assertEqual([200] * 4, statuses[:4])
     self.assertNotIn(200, statuses[4:])
     self.assertEqual(402, statuses[-1])
-    self.assertEqual(4, len(env.servers["i-1"].seen))
+    self.assertEqual(4, len(env.servers["i-1"].received))
 
   @in_environment(prepaid=2_000)
   async def test_top_up_takes_effect(self, env):
@@ -357,7 +357,7 @@
     ):
       got = await self._raw(env, (head + rest).encode())
       self.assertTrue(got.startswith(b"HTTP/1.1 4"), (rest, got))
-    self.assertEqual([], env.servers["i-1"].seen)
+    self.assertEqual([], env.servers["i-1"].received)
 
   @in_environment()
   async def test_request_without_id_or_too_large(self, env):
@@ -368,7 +368,7 @@
     self.assertIn(b" 431 ", await self._raw(env, long))
     response = await env.call("/look/a", "r1", body=b"x" * 70_000)
     self.assertEqual(413, response.status)
-    self.assertEqual([], env.servers["i-1"].seen)
+    self.assertEqual([], env.servers["i-1"].received)
 
   @in_environment()
   async def test_connections_are_reused_and_requests_pipelined(self, env):
@@ -396,7 +396,7 @@
     env.servers["i-1"].behaviour.response_delay_s = 0.6
     async with env.caller() as caller:
       await caller.send("/book/a", "r1")
-      await env.wait_until(lambda: env.servers["i-1"].seen)
+      await env.wait_until(lambda: env.servers["i-1"].received)
       env.stop.set()
       await anyio.sleep(0.1)
       self.assertFalse(env.gateway.ready)
@@ -415,7 +415,7 @@
     behaviour.events, behaviour.event_interval_s = 15, 0.1
     async with env.caller() as caller:
       await caller.send("/once/a", "r1", **StreamTest.USAGE)
-      await env.wait_until(lambda: env.servers["i-1"].seen)
+      await env.wait_until(lambda: env.servers["i-1"].received)
       env.stop.set()
       response = await caller.receive()
     self.assertEqual((200, True), (response.status, response.is_complete))
