--- a/tests/fleetcase.py
+++ b/tests/fleetcase.py
@@ -15,8 +15,9 @@
 from mustardfall.kv import client as kv_client
 
 ENTRY = sample.catalogue().entries[0]
-SMALL = sample.catalogue().entries[9]
-QUICK = settings.Membership(ttl_s=2, grace_s=1.0, watch_idle_s=3.0)
+SMALL_ENTRY = sample.catalogue().entries[9]
+"""The entry with the small budget, of the first customer's last team."""
+SHORT_LEASE = settings.Membership(ttl_s=2, grace_s=1.0, watch_idle_s=3.0)
 """Routers notice within about three seconds that another has exited."""
 
 
@@ -47,14 +48,14 @@
     engine = {"tokens_per_s": tokens_per_s} | (engine or {})
     self.urls = fleet_lib.start_platform(self.fleet, dcs, engine)
     self.call_kv(lambda kv: store.apply(kv, sample.catalogue()))
-    names = tuple(dcs[i % len(dcs)] for i in range(routers))
+    datacentres = tuple(dcs[i % len(dcs)] for i in range(routers))
     settings_overrides = {
         "tick_s": 0.2,
         "drain_s": 10.0,
         "lame_duck_s": 0.2,
     } | overrides
     self.routers = fleet_lib.start_routers(
-        self.fleet, self.urls, names, **settings_overrides
+        self.fleet, self.urls, datacentres, **settings_overrides
     )
     self.fleet.wait_ready()
     time.sleep(0.6)
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -15,7 +15,7 @@
 from tests import fleetcase
 
 _ENTRY = fleetcase.ENTRY
-_SMALL = fleetcase.SMALL
+_SMALL = fleetcase.SMALL_ENTRY
 
 
 def _words(chunk) -> list[str]:
@@ -50,9 +50,9 @@
     self.assertEqual(503, ready)
     self.assertEqual(3, self.ask(self.routers[0], 3).usage.completion_tokens)
 
-  def test_settings_signal_changes_nothing(self):
+  def test_sighup_does_not_stop_router(self):
     # Operators' tools send SIGHUP to make daemons reload their settings. Its
-    # default action ends the process, which closed callers' open streams.
+    # default action ends the process, which would close callers' open streams.
     self.start(tokens_per_s=100.0)
     words = []
     for chunk in self.stream(self.routers[0], 50):
@@ -63,12 +63,12 @@
     self.assertEqual(50, len(words))
     self.assertIsNone(self.fleet.procs["router-1"].popen.poll())
 
-  def test_kill_9_breaks_stream_loudly_and_its_tokens_stay_counted(self):
+  def test_killed_router_fails_stream_and_tokens_stay_counted(self):
     # A router is killed during a stream. The stream must fail with an error
     # instead of ending as if complete. The tokens that the router held, as a
     # grant or a part of another router's grant, stay counted against the
     # budget, so that it is never overspent.
-    self.start(routers=2, tokens_per_s=100.0, membership=fleetcase.QUICK)
+    self.start(routers=2, tokens_per_s=100.0, membership=fleetcase.SHORT_LEASE)
     stream = self.stream(self.routers[0], 150)
     got = 0
 
@@ -90,7 +90,7 @@
     self.assertGreaterEqual(counted, 150)
     self.assertGreaterEqual(ledger.headroom(after), 0)
 
-  def test_caller_that_leaves_early_leaves_no_tokens_behind(self):
+  def test_reservation_of_disconnected_caller_is_settled(self):
     # A caller disconnects before the first token. Its reservation must be
     # settled: left open, its allotment could never be settled, and the
     # customer would lose the tokens.
@@ -114,7 +114,7 @@
     self.assertEqual({}, self.ledger()["grants"])
 
 
-class OnceTest(fleetcase.FleetCase):
+class IdempotencyTest(fleetcase.FleetCase):
 
   def test_booking_retried_after_router_death_is_not_run_twice(self):
     # The caller retries a booking at another router after the first one was
@@ -140,7 +140,7 @@
     self.assertEqual([502, 409], [r.status_code for r in replies])
     self.assertEqual(1, self.standin_stats("service")["executions"])
 
-  def test_engine_that_fails_after_it_ran_is_not_called_not_run(self):
+  def test_engine_failure_after_run_is_reported_as_may_have_run(self):
     # The engine generates the response, then returns 500. The verdict is
     # "may have run"; the request is not retried at another engine.
     self.start(dcs=("lier-a", "lier-b"))
@@ -212,7 +212,8 @@
     self.fleet.signal(
         "router-2", signal.SIGSTOP
     )  # partitioned from the other router too
-    # More than the whole budget, which the partitioned router may hold.
+    # The requests need more than the whole budget, all of which the
+    # partitioned router may hold.
     partitioned_results = [_ask(partitioned) for _ in range(22)]
     self.assertLessEqual(used, _SMALL.tokens)
     self.fleet.signal("router-2", signal.SIGCONT)
@@ -226,8 +227,8 @@
 
   def test_router_cut_off_from_kv_draws_on_the_owner(self):
     # One of two routers is partitioned from the KV for long. It still serves
-    # all budgets: those of the other router through their owner, and its own
-    # through the other router as fallback coordinator.
+    # all budgets: it gets tokens from the other router, as the owner of some
+    # budgets, and as the deputy for those that the partitioned router owns.
     self.start(routers=2)
     self.inject("kv", blocked=["router-1"])
     entries = sample.catalogue().entries  # each router owns some of them
@@ -254,7 +255,7 @@
     # router writes off its tokens, so that they stay counted. When resumed,
     # the router completes the stream, and the ledger is corrected: the
     # tokens are billed once and none are lost.
-    self.start(routers=2, tokens_per_s=100.0, membership=fleetcase.QUICK)
+    self.start(routers=2, tokens_per_s=100.0, membership=fleetcase.SHORT_LEASE)
     words = []
     for chunk in self.stream(self.routers[0], 60):
       words.extend(_words(chunk))
@@ -263,8 +264,9 @@
         time.sleep(4.5)
         self.ask(self.routers[1], 3)
         self.fleet.signal("router-1", signal.SIGCONT)
+        # Keeps a chunk without words from pausing the router again.
         words.append("-")
-    self.assertEqual(61, len(words))
+    self.assertEqual(61, len(words))  # 60 words and the marker
     for name in ("router-1", "router-2"):
       self.fleet.signal(name, signal.SIGTERM)
     for name in ("router-1", "router-2"):
@@ -281,7 +283,7 @@
     allotment = settings.Allotment(
         part_term_s=30.0
     )  # parts are still held at the kill
-    self.start(routers=2, membership=fleetcase.QUICK, allotment=allotment)
+    self.start(routers=2, membership=fleetcase.SHORT_LEASE, allotment=allotment)
     for entry in sample.catalogue().entries[:6]:
       for router in self.routers:
         self.ask(router, 3, entry)
@@ -300,7 +302,7 @@
     # The KV becomes unreachable for a router without a connection reset. The
     # router must detect its dead watch: a catalogue change made during the
     # partition applies within seconds after it ends.
-    self.start(routers=1, membership=fleetcase.QUICK)
+    self.start(routers=1, membership=fleetcase.SHORT_LEASE)
     self.inject("kv", blocked=["router-1"], silent=True)
     spec = model.CatalogueSpec(entries=sample.catalogue().entries[:5])
     revision = self.call_kv(lambda kv: store.apply(kv, spec))
