--- a/mustardfall/api/calls.py
+++ b/mustardfall/api/calls.py
@@ -50,7 +50,11 @@
 async def admit(
     router: router_lib.Router, entry: table.CallerEntry, tokens: int
 ) -> "Call | verdict.Verdict":
-  """Reserves `tokens` for a request, or rejects it without waiting."""
+  """Reserves `tokens` for a request, without waiting for tokens.
+
+  Returns:
+    The admitted call, or a verdict if the budget cannot cover the tokens.
+  """
   router.retries.deposit()
   reservation = await router.pool.reserve(entry.name, tokens, entry.customer)
   if reservation is None:
@@ -102,7 +106,7 @@
 
   @contextlib.contextmanager
   def close_unless_transferred(self) -> Iterator[None]:
-    """Closes the call with the block, unless `transfer` was called in it."""
+    """Closes the call when the block ends, unless `transfer` was called."""
     try:
       yield
     finally:
@@ -110,7 +114,7 @@
         self.__exit__(None, None, None)
 
   def transfer(self) -> "Call":
-    """Leaves closing the call to the next code that enters its context."""
+    """Returns the call to a new owner, which must close it using `with`."""
     self._transferred = True
     return self
 
--- a/mustardfall/api/chat.py
+++ b/mustardfall/api/chat.py
@@ -27,7 +27,10 @@
 logger = logging.getLogger(__name__)
 
 _MAX_ATTEMPTS = 3
-"""Most engines tried for one request, as long as none may have run it."""
+"""Maximum number of engines tried for one request.
+
+Another engine is tried only if none may have run the request.
+"""
 _TEMPLATE_TOKENS_PER_MESSAGE = 4
 """Tokens reserved per message for what the chat template may add."""
 _NOT_RUN_STATUSES = frozenset({429, 503})
@@ -50,11 +53,12 @@
 
 
 def max_prompt_tokens(body: dict[str, Any]) -> int:
-  """Returns an upper bound of the prompt's tokens: its size in UTF-8.
+  """Returns an upper bound of the prompt's tokens.
 
-  No tokenizer yields more tokens than bytes, so the prompt cannot exceed
-  a reservation of this size. Everything that a chat template may render is
-  counted: whole messages (names, parts, tool calls) and tools.
+  No tokenizer yields more tokens than bytes of UTF-8. The bound is the size
+  of everything that a chat template may render, messages (with names, parts
+  and tool calls) and tools, plus an allowance per message for the template.
+  Of a message that has only `role` and `content`, only the content is counted.
   """
   messages = body["messages"]
   text = sum(len(_encode_content(m)) for m in messages)
--- a/mustardfall/api/relay.py
+++ b/mustardfall/api/relay.py
@@ -49,6 +49,7 @@
     Raises:
       errors.MismatchedResponseError: an event has another response's id.
       httpx.HTTPError: the connection failed.
+      ValueError: an event with usage is malformed.
     """
     incomplete = b""
     async for data in self._reply.aiter_raw():
@@ -57,7 +58,7 @@
         continue
       self._check_id(block)
       if _USAGE_PATTERN.search(block) or _DONE_PATTERN.search(block):
-        block = self._extract_usage(block)
+        block = self._parse_block(block)
       if block:
         yield block
       if self.done:
@@ -79,8 +80,8 @@
           f"event without the id {self._id!r} of its response"
       )
 
-  def _extract_usage(self, block: bytes) -> bytes:
-    """Reads the usage and `[DONE]`; returns the events to forward."""
+  def _parse_block(self, block: bytes) -> bytes:
+    """Sets `usage` and `done`; returns the events to forward."""
     forwarded = []
     for event in block.replace(b"\r\n", b"\n").split(b"\n\n"):
       if _DONE_PATTERN.search(event):
--- a/mustardfall/bench/load.py
+++ b/mustardfall/bench/load.py
@@ -44,7 +44,8 @@
   """The usage of a budget as counted by its callers, always up to date.
 
   A refusal is false if the limit covers the request in addition to the tokens
-  used and the maximum that requests in flight may use.
+  used, possibly used and in flight, both when the request is sent and when it
+  is answered.
   """
 
   limit: int
@@ -150,8 +151,9 @@
       used = len(answer.words)
       account.unsure += max_total_tokens - used
     account.used += used
-    # The budget must cover the request before and after it was sent. Otherwise
-    # a correct refusal would count as false if other requests ended meanwhile.
+    # The budget must cover the request both when it is sent and when it is
+    # answered. Otherwise a correct refusal would count as false if other
+    # requests ended meanwhile.
     covered = covered and account.covers(max_total_tokens)
     self.records.append(
         RequestRecord(
--- a/mustardfall/bench/scenarios.py
+++ b/mustardfall/bench/scenarios.py
@@ -144,8 +144,8 @@
   environment.removed.discard("router-1")
 
 
-async def _rolling_restart(environment: Environment) -> None:
-  """Routers are stopped one after the other under load."""
+async def _stop_in_turn(environment: Environment) -> None:
+  """Three routers are stopped one after the other and not started again."""
   for name in ("router-1", "router-2", "router-3"):
     await anyio.sleep(2.0)
     environment.fleet.signal(name, signal.SIGTERM)
@@ -170,7 +170,10 @@
 
 
 async def _operators_race(environment: Environment) -> None:
-  """Three operators edit concurrently; no router may revert a change."""
+  """Three operators edit the catalogue concurrently.
+
+  Counts lost edits, and how often a router goes back to an older revision.
+  """
   accepted, lost, reverts = [], 0, 0
   last: dict[str, int] = {}
   lags = []
@@ -238,7 +241,8 @@
         await anyio.sleep(0.005)
 
 
-def _weigh_all(entry: model.EntrySpec) -> float:
+def _mostly_last_teams(entry: model.EntrySpec) -> float:
+  """Returns weight 3 for the last team of each customer, otherwise 1."""
   return 3.0 if entry.team == f"t{sample.TEAMS}" else 1.0
 
 
@@ -253,10 +257,13 @@
   allotment: settings.Allotment = OWNED_GRANTS
   scheduler: settings.Scheduler = settings.Scheduler()
   tokens: int = 200_000
+  """Limit of each team's budget, except the last team's."""
   small: int = 1_500
+  """Limit of the budget of each customer's last team."""
   rate: float = RATE
   words: tuple[int, int] = (4, 40)
-  weight: Callable[[model.EntrySpec], float] = _weigh_all
+  """Minimum and maximum length of a response, in words."""
+  weight: Callable[[model.EntrySpec], float] = _mostly_last_teams
   engine_slots: int = 16
 
 
@@ -292,7 +299,7 @@
     "router_freeze_router_grants": Scenario(
         _router_freeze, allotment=ROUTER_GRANTS
     ),
-    "rolling_restart": Scenario(_rolling_restart),
+    "rolling_restart": Scenario(_stop_in_turn),
     "engines_leave": Scenario(_engines_leave),
     "operators_race": Scenario(_operators_race),
 }
--- a/mustardfall/bench/virtual/engines.py
+++ b/mustardfall/bench/virtual/engines.py
@@ -29,9 +29,9 @@
 _DECODE_S = 0.5
 """Duration of a stream after its first token."""
 _REPORT_FANOUT = 8
+"""Number of routers to which `_report_to_sample` sends a load report."""
 _REPORT_INTERVAL_S = 0.25
-"""Number of routers that a load report is sent to, and the minimum interval
-between reports, for policies that report to a sample of the routers."""
+"""Minimum interval between a router's load reports in `_report_to_sample`."""
 
 
 class Kind(NamedTuple):
@@ -46,7 +46,9 @@
   """Standard deviation of the logarithm of a prompt's own tokens."""
   objective_s: float
   worth: float
+  """Value of a request whose first token meets the objective."""
   late_worth: float
+  """Value of a request whose first token is late."""
 
 
 KINDS = (
@@ -54,7 +56,7 @@
     Kind("notice", 37.7, 427, 6_300, 2_890, 1.0, 0.6, 2.8, 0.84),
     Kind("label", 98.0, 1_662, 350, 1_110, 1.0, 0.4, 0.29, 0.086),
 )
-"""The three kinds of streams in a region of 195 hosts."""
+"""The three kinds of requests in a region of 195 routers."""
 
 
 class Day(NamedTuple):
@@ -69,7 +71,8 @@
   """Number of engines that become slow after a third of the day."""
   slow_x: float = 3.5
   hot: float = 0.0
-  """Additional share of the second kind's requests that use its first prefix."""
+  """Share of the second kind's requests that use its first prefix, in addition
+  to those that draw it by chance."""
 
 
 class Result(NamedTuple):
@@ -165,19 +168,19 @@
     self.routers = [_Router(n, day) for n in range(day.routers)]
     self.engines = {f"i-{n}": _Engine() for n in range(day.engines)}
     self.tracker = tracking.Tracker()
-    """Tracks all engines. In a real fleet each engine is tracked by some router,
-    which others ask by message."""
+    """Tracks all engines. In a real fleet each engine is tracked by some
+    router, which others ask by message."""
     self.messages = 0
-    self._read_prefixes: set[str] = set()
+    self._prefilled_prefixes: set[str] = set()
     self._shared_tokens = 0
-    self._reread_tokens = 0
+    self._tokens_prefilled_again = 0
     self._times: dict[str, list[tuple[int, float]]] = {}
     self._events: list[tuple[float, int, Callable[[float], None]]] = []
     self._order = itertools.count()
     self._prefix_tokens = self._draw_prefixes()
 
   def _draw_prefixes(self) -> dict[str, list[int]]:
-    """Returns the shared tokens of each prefix, by kind; the same for all seeds."""
+    """Returns each prefix's shared tokens, by kind; the same for all seeds."""
     rng = random.Random("prefixes")
     return {
         kind.name: [
@@ -232,9 +235,9 @@
     place.row.prefill_s += place.prefill_s
     first_at, shared = self.engines[place.row.name].prefill(prompt, now)
     self._shared_tokens += prompt.shared_tokens
-    if prompt.prefix in self._read_prefixes:
-      self._reread_tokens += shared
-    self._read_prefixes.add(prompt.prefix)
+    if prompt.prefix in self._prefilled_prefixes:
+      self._tokens_prefilled_again += shared
+    self._prefilled_prefixes.add(prompt.prefix)
     self._report(self, router, "sent", sent, now)
     self.schedule(
         first_at, lambda at: self._receive_first_token(router, sent, at)
@@ -276,7 +279,7 @@
         _worth(first, times[-max(1, len(times) // 10) :]),
         late,
         p99_s,
-        self._reread_tokens / max(1, self._shared_tokens),
+        self._tokens_prefilled_again / max(1, self._shared_tokens),
         self.messages / self._day.routers / self._day.seconds,
     )
 
@@ -299,7 +302,10 @@
     prompt: placement.Prompt,
     now: float,
 ) -> placement.Placement:
-  """Places the request by the load that the router knows itself."""
+  """Places the request by the load that the router knows.
+
+  It knows the load from its own requests and from the reports it received.
+  """
   del simulation, now
   return placement.choose(router.rows, prompt, router.datacentre)
 
@@ -315,8 +321,8 @@
   first, _ = placement.candidates(
       router.rows, prompt, router.datacentre, simulation.rng()
   )
-  held_s = placement.prefill_s(True, prompt)
-  return placement.Placement(first[0].row, held_s, held_s)
+  cached_s = placement.prefill_s(True, prompt)
+  return placement.Placement(first[0].row, cached_s, cached_s)
 
 
 def _choose_of_two(
@@ -329,8 +335,10 @@
   del now
   rows = simulation.rng().sample(router.rows, 2)
   row = min(rows, key=lambda r: placement.wait_s(r, prompt))
-  own_s = placement.prefill_s(False, prompt)
-  return placement.Placement(row, own_s, placement.wait_s(row, prompt) + own_s)
+  uncached_s = placement.prefill_s(False, prompt)
+  return placement.Placement(
+      row, uncached_s, placement.wait_s(row, prompt) + uncached_s
+  )
 
 
 def _choose_tracked(
--- a/mustardfall/bench/virtual/simulation.py
+++ b/mustardfall/bench/virtual/simulation.py
@@ -27,7 +27,8 @@
 """Cause of a failed request while no router was up. It is counted separately,
 as no budget policy can prevent it."""
 _FAILOVER_S = 0.1
-"""Time after which a caller that could not connect tries another host."""
+"""Time until a connection attempt fails, and delay before the caller then tries
+another host."""
 
 
 class Result(NamedTuple):
@@ -53,7 +54,7 @@
   seconds: dict[int, int]
   """False refusals by second of the day."""
   causes: dict[str, int]
-  """False refusals by the place where the budget's tokens were at that time."""
+  """Number of false refusals by cause; see `_refusal_cause`."""
 
 
 class _BudgetUsage:
@@ -185,7 +186,7 @@
   def _refusal_cause(
       self, host: hosts_lib.Host | None, request: traffic.Request
   ) -> str:
-    """Returns where the tokens were that a refused request needed."""
+    """Returns why a request was refused: what kept the tokens from it."""
     if host is None or host.accounts is None:
       return _NO_ROUTER
     team, tokens = request.team, request.max_tokens
@@ -224,7 +225,7 @@
       request: traffic.Request,
       timeout_s: float,
   ) -> float | None:
-    """Returns the delay before a refused caller retries, or None if it does not."""
+    """Returns the delay before a refused caller retries; None: no retry."""
     if host is None or host.accounts is None:
       return _FAILOVER_S
     accounts = host.accounts
--- a/mustardfall/emulator/server.py
+++ b/mustardfall/emulator/server.py
@@ -82,6 +82,7 @@
     self.id = id
     self.behaviour = Behaviour()
     self.received: list[ReceivedRequest] = []
+    """Requests that the server accepted, in order."""
     self.connections = 0
     self.crashed = anyio.Event()
     """Set once the server has crashed and closed its port."""
@@ -145,23 +146,23 @@
   async def _serve_one(
       self, stream: abc.SocketStream, parser: h11.Connection
   ) -> bool:
-    seen = await self._read(stream, parser)
-    if seen is None:
+    request = await self._read(stream, parser)
+    if request is None:
       return False
     behaviour = dataclasses.replace(self.behaviour)
-    if seen.headers.get("expect-instance") != self.id:
+    if request.headers.get("expect-instance") != self.id:
       await stream.send(_head(421, {"instance-id": self.id}) + b"\r\n")
       return False
     if behaviour.not_run:
-      head = _head(503, {"not-executed": "1", **_request_id_header(seen)})
+      head = _head(503, {"not-executed": "1", **_request_id_header(request)})
       await stream.send(head + b"\r\n")
       return False
-    self.received.append(seen)
+    self.received.append(request)
     async with anyio.create_task_group() as tg:
-      tg.start_soon(_watch_disconnect, stream, seen, tg.cancel_scope)
-      writer = _ResponseWriter(stream, seen, behaviour, self.id)
-      if behaviour.crash_on and behaviour.crash_on in seen.body:
-        await writer.send_partial()
+      tg.start_soon(_watch_disconnect, stream, request, tg.cancel_scope)
+      writer = _ResponseWriter(stream, request, behaviour, self.id)
+      if behaviour.crash_on and behaviour.crash_on in request.body:
+        await writer.send_head()
         await self.crash()
       await writer.run()
       tg.cancel_scope.cancel()
@@ -172,21 +173,21 @@
     keep = (
         behaviour.reset_after_events is None and not behaviour.close_delimited
     )
-    return keep and not seen.cancelled
+    return keep and not request.cancelled
 
 
 async def _watch_disconnect(
-    stream: abc.SocketStream, seen: ReceivedRequest, scope: anyio.CancelScope
+    stream: abc.SocketStream, request: ReceivedRequest, scope: anyio.CancelScope
 ) -> None:
   try:
     await stream.receive(1)
   except (anyio.EndOfStream, anyio.BrokenResourceError):
-    seen.cancelled = True
+    request.cancelled = True
     scope.cancel()
 
 
-def _request_id_header(seen: ReceivedRequest) -> dict[str, str]:
-  return {"request-id": seen.headers.get("request-id", "")}
+def _request_id_header(request: ReceivedRequest) -> dict[str, str]:
+  return {"request-id": request.headers.get("request-id", "")}
 
 
 def _head(
@@ -205,17 +206,17 @@
   def __init__(
       self,
       stream: abc.SocketStream,
-      seen: ReceivedRequest,
+      request: ReceivedRequest,
       behaviour: Behaviour,
       id_: str,
   ) -> None:
     self._stream = stream
-    self._seen = seen
+    self._request = request
     self._behaviour = behaviour
     self._id = id_
 
-  async def send_partial(self) -> None:
-    """Writes only the head of a response."""
+  async def send_head(self) -> None:
+    """Writes only the head of the response, whose body never follows."""
     await anyio.sleep(self._behaviour.response_delay_s)
     await self._stream.send(_head(200, self._headers(), 1_000) + b"\r\n")
 
@@ -237,7 +238,7 @@
       await self._stream.send(_head(200, headers, 3) + b"\r\nbad")
 
   def _headers(self) -> dict[str, str]:
-    headers = {**_request_id_header(self._seen), "server-load": "1,0,8"}
+    headers = {**_request_id_header(self._request), "server-load": "1,0,8"}
     if not self._behaviour.unsigned:
       headers["response-signature"] = f"signed-by-{self._id}"
     if self._behaviour.encoded:
@@ -245,7 +246,7 @@
     return headers
 
   async def _send_plain(self) -> None:
-    body = f"{self._id} {self._seen.target}".encode() + bytes(
+    body = f"{self._id} {self._request.target}".encode() + bytes(
         self._behaviour.padding
     )
     length = None if self._behaviour.close_delimited else len(body)
@@ -260,7 +261,9 @@
         "transfer-encoding": "chunked",
     }
     await self._stream.send(_head(200, headers, None) + b"\r\n")
-    last = int(self._seen.headers.get("last-event-id", behaviour.first_id - 1))
+    last = int(
+        self._request.headers.get("last-event-id", behaviour.first_id - 1)
+    )
     for events_sent, number in enumerate(
         range(last + 1, behaviour.first_id + behaviour.events)
     ):
--- a/mustardfall/emulator/store.py
+++ b/mustardfall/emulator/store.py
@@ -55,7 +55,7 @@
   """Injected faults; set by tests."""
 
   failure_mode: str = ""
-  """`silent`, `busy` (503), `reset` or `nonsense`; empty: up."""
+  """`silent`, `busy` (503), `reset` or `nonsense`; empty: no failure."""
   lose_responses: int = 0
   """How many of the next writes are applied but get no response."""
   apply_delay_s: float = 0.0
--- a/mustardfall/errors.py
+++ b/mustardfall/errors.py
@@ -14,7 +14,10 @@
 
 
 class KvConflictError(KvUnavailableError):
-  """Each attempt to write lost to a concurrent write; the KV is up."""
+  """Every attempt to write conflicted with a concurrent write.
+
+  A subclass, because in both cases the write was not applied.
+  """
 
 
 class KvUnknownError(Error):
@@ -34,7 +37,7 @@
 
 
 class RejectedRequestError(Error):
-  """A caller's request is rejected with the HTTP status `status`."""
+  """A caller's request is rejected with HTTP status `status`."""
 
   def __init__(
       self,
@@ -59,8 +62,11 @@
 
 
 class InvalidResponseError(Error):
-  """An endpoint's response is incomplete or invalid; it may have run."""
+  """An endpoint's response is incomplete or invalid.
+
+  The request may have run.
+  """
 
 
 class ResponseTimeoutError(InvalidResponseError):
-  """An endpoint sent nothing within the timeout; it may still be running."""
+  """No data within the timeout; the request may still be running."""
--- a/mustardfall/router.py
+++ b/mustardfall/router.py
@@ -1,4 +1,4 @@
-"""The application object of a router (entry host).
+"""The application object of a router process.
 
 `Router` creates and connects the components: the KV client and its batch
 writer, the catalogue follower, the membership, the pool of allotments, the
@@ -104,7 +104,11 @@
     return self.catalogue.current.policy_of(customer)
 
   def _get_lease(self, key: str) -> int:
-    """Returns the lease of call records, which expire; budgets have none."""
+    """Returns the lease with which `key` is written; 0 means no lease.
+
+    Call records expire with their lease; other keys, such as budgets, do not
+    expire.
+    """
     return self._record_lease if key.startswith(idempotency.PREFIX) else 0
 
   def new_claim_id(self) -> str:
@@ -168,8 +172,8 @@
     except (httpx.HTTPError, ValueError) as exc:
       raise errors.PeerUnavailableError(repr(exc)) from exc
 
-  async def _renew_record_lease(self) -> None:
-    """Grants a new lease for call records periodically, never renewed."""
+  async def _replace_record_lease(self) -> None:
+    """Obtains a new lease for call records periodically; renews none."""
     keep_s = self.config.records.keep_s
     while True:
       try:
@@ -188,7 +192,7 @@
           *self.accounts.loops(),
           self.accounts.members.follow,
           self.catalogue.follow,
-          self._renew_record_lease,
+          self._replace_record_lease,
           self._poll_hosts,
           self._run_ticks,
           self.orders.run,
@@ -209,7 +213,11 @@
     await self.accounts.return_allotments()
 
   async def finish(self) -> None:
-    """Flushes pending writes, once other routers can no longer call."""
+    """Flushes pending writes.
+
+    The caller must have stopped the peer server, so that other routers
+    cannot add writes.
+    """
     await self.writer.flush(_FLUSH_TIMEOUT_S)
     logger.info(
         "stopped",
--- a/mustardfall/standins/engine.py
+++ b/mustardfall/standins/engine.py
@@ -11,10 +11,13 @@
 `fencing-token` header; if `honours_fencing` is set, a token lower than an
 earlier one is rejected with 409. `POST /standin/faults` takes:
 
-- `fail_next`: so many requests are rejected with 503 and not run.
-- `fail_after_run`: so many requests are run, then answered with 500.
-- `drop_after`: the next stream ends after that many tokens.
-- `cross_next`: so many streams contain an event of another response.
+- `fail_next`: number of next requests to reject with 503 without running
+  them.
+- `fail_after_run`: number of next requests to run and then answer with 500.
+- `drop_after`: the next completion ends after that many tokens; a stream
+  ends without `[DONE]`.
+- `cross_next`: number of next completions to which, if they are streamed, an
+  event of another response is added.
 - `stall_s`: delay before the first byte of each response.
 """
 
--- a/mustardfall/standins/kvstore.py
+++ b/mustardfall/standins/kvstore.py
@@ -47,7 +47,10 @@
 
 
 class Store:
-  """Keys, revisions and leases with the semantics of etcd v3."""
+  """Keys, revisions and leases, as in etcd v3.
+
+  Unlike in etcd, each operation of a transaction gets its own revision.
+  """
 
   def __init__(self) -> None:
     self.revision = 1
