--- a/mustardfall/api/calls.py
+++ b/mustardfall/api/calls.py
@@ -50,7 +50,7 @@
 async def admit(
     router: router_lib.Router, entry: table.CallerEntry, tokens: int
 ) -> "Call | verdict.Verdict":
-  """Reserves `tokens` for a request, without waiting for tokens.
+  """Reserves `tokens` for a request.
 
   Returns:
     The admitted call, or a verdict if the budget cannot cover the tokens.
--- a/mustardfall/api/relay.py
+++ b/mustardfall/api/relay.py
@@ -49,7 +49,7 @@
     Raises:
       errors.MismatchedResponseError: an event has another response's id.
       httpx.HTTPError: the connection failed.
-      ValueError: an event with usage is malformed.
+      ValueError: an event with usage is not JSON, or its usage not a number.
     """
     incomplete = b""
     async for data in self._reply.aiter_raw():
--- a/mustardfall/errors.py
+++ b/mustardfall/errors.py
@@ -14,7 +14,7 @@
 
 
 class KvConflictError(KvUnavailableError):
-  """Every attempt to write conflicted with a concurrent write.
+  """Every attempt to write conflicted with a concurrent write; the KV is up.
 
   A subclass, because in both cases the write was not applied.
   """
