--- a/mustardfall/errors.py
+++ b/mustardfall/errors.py
@@ -14,7 +14,10 @@
 
 
 class KvConflictError(KvUnavailableError):
-  """Each attempt to write lost to a concurrent write; the KV is up."""
+  """Every attempt to write conflicted with a concurrent write; the KV is up.
+
+  A subclass, because in both cases the write was not applied.
+  """
 
 
 class KvUnknownError(Error):
@@ -33,8 +36,8 @@
   """An engine sent an event of another response; the stream must end."""
 
 
-class BadRequestError(Error):
-  """A caller's request is rejected with the HTTP status `status`."""
+class RejectedRequestError(Error):
+  """A caller's request is rejected with HTTP status `status`."""
 
   def __init__(
       self,
@@ -47,7 +50,7 @@
     self.retry_after_s = retry_after_s
 
 
-class OverloadedError(BadRequestError):
+class OverloadedError(RejectedRequestError):
   """Too little memory for a request that is not yet read completely."""
 
   def __init__(self, reason: str, retry_after_s: float) -> None:
@@ -59,8 +62,11 @@
 
 
 class InvalidResponseError(Error):
-  """An endpoint's response is incomplete or invalid; it may have run."""
+  """An endpoint's response is incomplete or invalid.
+
+  The request may have run.
+  """
 
 
 class ResponseTimeoutError(InvalidResponseError):
-  """An endpoint sent nothing within the timeout; it may still be running."""
+  """No data within the timeout; the request may still be running."""
